--- a/serving/src/main/java/org/hallwall/serving/control/ControlNode.java
+++ b/serving/src/main/java/org/hallwall/serving/control/ControlNode.java
@@ -39,7 +39,7 @@
 import org.hallwall.serving.config.ConfigurationException;
 import org.hallwall.serving.config.ConfigurationReader;
 import org.hallwall.serving.crash.CrashLedger;
-import org.hallwall.serving.group.ControllerView;
+import org.hallwall.serving.group.ControllerInputs;
 import org.hallwall.serving.group.GroupController;
 import org.hallwall.serving.group.TargetGateway;
 import org.hallwall.serving.permit.PermitLedger;
@@ -136,7 +136,7 @@
                 ticker,
                 new SecureRandom(),
                 () -> Runtime.getRuntime().halt(ExitCode.FAILURE.code()));
-        ControllerView view = new ControllerView(directory, this::configuration, entries::streams);
+        ControllerInputs view = new ControllerInputs(directory, this::configuration, entries::streams);
         groups = new GroupController(
                 voter, view, gateway, feed::markLost, settings.timing(), settings.mechanisms(), ticker);
         crashes = new CrashService(voter, ledger, System::currentTimeMillis);
@@ -146,7 +146,7 @@
                 machine,
                 reader,
                 id -> settings.member(id).api());
-        directory.onChange(r -> groups.nudge());
+        directory.onChange(r -> groups.requestStep());
         voter.start();
         groups.start();
         membership.start(voter);
@@ -358,10 +358,10 @@
             return crashes.trial(m.digest());
         }
         if (message instanceof FeedMessage.StalledHead m && groups != null) {
-            return groups.stalled(m);
+            return groups.handleStalledHead(m);
         }
         if (message instanceof FeedMessage.SuspectFinding m && groups != null) {
-            return groups.confirm(m);
+            return groups.handleSuspectFinding(m);
         }
         return Mono.empty();
     }
--- a/serving/src/main/java/org/hallwall/serving/group/ControllerView.java
+++ b/serving/src/main/java/org/hallwall/serving/group/ControllerInputs.java
@@ -25,11 +25,11 @@
 import org.hallwall.serving.target.TargetDirectory;
 
 /**
- * What the group controller looks at.
+ * The inputs of the group controller.
  *
- * @param directory all targets
- * @param configuration gives the configuration in force
- * @param streams gives the streams in progress by model, of all entries
+ * @param directory the directory of all targets
+ * @param configuration supplies the current configuration
+ * @param streams supplies the streams in progress of all entries, by model
  */
-public record ControllerView(
+public record ControllerInputs(
         TargetDirectory directory, Supplier<Configuration> configuration, Supplier<Map<String, Integer>> streams) {}
--- a/serving/src/main/java/org/hallwall/serving/group/ControllerTiming.java
+++ b/serving/src/main/java/org/hallwall/serving/group/ControllerTiming.java
@@ -19,11 +19,12 @@
 package org.hallwall.serving.group;
 
 /**
- * The limits of the group controller.
+ * Time limits of the group controller.
  *
- * @param heartbeatMillis the time between heartbeats of a target, in milliseconds
- * @param stallMillis after how long a head that lost a member breaks, in milliseconds
- * @param firstStart whether the whole system starts for the first time, so that loads are quick until requests come
- * @param hearAllMillis how long after its start a process has heard every target, in milliseconds
+ * @param heartbeatMillis the heartbeat interval of a target, in milliseconds
+ * @param stallMillis the time after which a head that lost a member breaks, in milliseconds
+ * @param firstStart whether the whole system starts for the first time, so that loads may exceed the store's rate
+ *     until requests arrive
+ * @param discoveryMillis the time after its start within which a process receives a heartbeat from every target, in milliseconds
  */
-public record ControllerTiming(long heartbeatMillis, long stallMillis, boolean firstStart, long hearAllMillis) {}
+public record ControllerTiming(long heartbeatMillis, long stallMillis, boolean firstStart, long discoveryMillis) {}
--- a/serving/src/main/java/org/hallwall/serving/group/SlowGroups.java
+++ b/serving/src/main/java/org/hallwall/serving/group/CrossDomainGroups.java
@@ -28,58 +28,58 @@
 import org.hallwall.serving.config.EngineModel;
 
 /**
- * Decides about groups over several fabric domains. They are slower by a factor, so they are formed only of a model that has lost
- * many of its groups: a slow group serves better than none, and spares are worth more where groups are many.
+ * Decides on cross-domain groups. They are slower by a factor, so they are formed only for a model that has lost many of its
+ * groups; otherwise the engines are more useful as spares.
  */
-final class SlowGroups {
+final class CrossDomainGroups {
 
-    /** The part of a model's most groups below which slow groups are formed. */
-    private static final double FEW_GROUPS = 0.7;
-    /** How long engines stand idle before that, in milliseconds: longer than a repair within a domain. */
-    private static final long IDLE_MILLIS = 1_500;
+    /** The fraction of a model's peak number of groups below which cross-domain groups are formed. */
+    private static final double MIN_GROUP_FRACTION = 0.7;
+    /** How long engines are idle before they join a cross-domain group, in milliseconds: longer than a repair within a domain. */
+    private static final long MIN_IDLE_MILLIS = 1_500;
 
     private final Map<String, Integer> peaks = new HashMap<>();
-    private final IdleTimes idleTimes = new IdleTimes();
+    private final IdleTracker idleTimes = new IdleTracker();
 
     /**
-     * Lists the engines that have been free for a while.
+     * Updates the idle times and returns the idle engines.
      *
-     * @param now the clock in milliseconds
+     * @param now the current time in milliseconds
      * @param free the free engines by fabric domain
-     * @return those that have been free for longer than a repair takes
+     * @return the engines that have been free for longer than a repair takes
      */
     List<Engine> idle(long now, Map<String, List<Engine>> free) {
-        idleTimes.take(now, free);
+        idleTimes.update(now, free);
         List<Engine> all = new ArrayList<>();
         free.values().forEach(all::addAll);
-        return idleTimes.longerThan(now, IDLE_MILLIS, all);
+        return idleTimes.idleLongerThan(now, MIN_IDLE_MILLIS, all);
     }
 
     /**
-     * Counts the slow groups that should be formed of a model.
+     * Returns the number of cross-domain groups to form for a model.
      *
      * @param model the model
-     * @param count how many groups it has
+     * @param count the current number of its groups
      * @param idle the idle engines
-     * @return how many more are wanted and can be formed
+     * @return the number of groups that are needed and that the idle engines can form
      */
-    int wanted(EngineModel model, int count, List<Engine> idle) {
+    int groupsToForm(EngineModel model, int count, List<Engine> idle) {
         int peak = peaks.merge(model.name(), count, Math::max);
-        long staged = idle.stream().filter(e -> e.canJoin(model.name())).count();
-        int lacking = (int) Math.ceil(peak * FEW_GROUPS - count);
-        return Math.max(0, Math.min(lacking, (int) (staged / model.size())));
+        long joinable = idle.stream().filter(e -> e.canJoin(model.name())).count();
+        int deficit = (int) Math.ceil(peak * MIN_GROUP_FRACTION - count);
+        return Math.max(0, Math.min(deficit, (int) (joinable / model.size())));
     }
 
     /**
-     * Says whether a domain could form a faster group from its members of a slow one and free engines beside them.
+     * Returns whether a domain could form a faster group from its members of a cross-domain group and its free engines.
      *
      * @param model the group's model
      * @param members the group's members
      * @param free the free engines by fabric domain
      * @param engines all engines of the service
-     * @return true if one could; false if all members are in one domain
+     * @return true if a domain could; false if all members are in one domain
      */
-    static boolean couldBeFaster(
+    static boolean canFormInOneDomain(
             EngineModel model,
             List<InstanceId> members,
             Map<String, List<Engine>> free,
@@ -96,10 +96,10 @@
             return false;
         }
         for (Map.Entry<String, Integer> d : byDomain.entrySet()) {
-            long beside = free.getOrDefault(d.getKey(), List.of()).stream()
+            long freeJoinable = free.getOrDefault(d.getKey(), List.of()).stream()
                     .filter(e -> e.canJoin(model.name()))
                     .count();
-            if (beside < model.size() && d.getValue() + beside >= model.size()) {
+            if (freeJoinable < model.size() && d.getValue() + freeJoinable >= model.size()) {
                 return true;
             }
         }
--- a/serving/src/main/java/org/hallwall/serving/group/DomainEngines.java
+++ b/serving/src/main/java/org/hallwall/serving/group/DomainCapacity.java
@@ -21,27 +21,27 @@
 import java.util.Map;
 
 /**
- * The engines of one fabric domain as the packing sees them.
+ * The capacity of one fabric domain, as input of the packing.
  *
  * @param name the fabric domain
- * @param failureDomain the failure domain that it lies in
- * @param engines how many engines may be in groups
- * @param groups how many groups serve or form, by model
- * @param able how many engines can join a group of a model without a load from the store, by model
+ * @param failureDomain the failure domain that contains it
+ * @param engines the number of engines that are eligible for groups
+ * @param groups the number of groups that serve or form, by model
+ * @param joinable the number of engines that can join a group without a load from the weight store, by model
  */
-record DomainEngines(
-        String name, String failureDomain, int engines, Map<String, Integer> groups, Map<String, Integer> able) {
+record DomainCapacity(
+        String name, String failureDomain, int engines, Map<String, Integer> groups, Map<String, Integer> joinable) {
 
-    int groupsOf(String model) {
+    int groupCount(String model) {
         return groups.getOrDefault(model, 0);
     }
 
-    int ableFor(String model) {
-        return able.getOrDefault(model, 0);
+    int joinableCount(String model) {
+        return joinable.getOrDefault(model, 0);
     }
 
-    /** Counts one engine more; the maps stay shared. */
-    DomainEngines withOneMore() {
-        return new DomainEngines(name, failureDomain, engines + 1, groups, able);
+    /** Returns a copy with one more engine; both share the maps. */
+    DomainCapacity plusEngine() {
+        return new DomainCapacity(name, failureDomain, engines + 1, groups, joinable);
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/group/DomainCount.java
+++ b/serving/src/main/java/org/hallwall/serving/group/DomainInventory.java
@@ -29,59 +29,59 @@
 import org.hallwall.serving.config.EngineModel;
 import org.hallwall.serving.config.EngineSpec;
 
-/** Counts what each fabric domain has: engines that may be in groups, groups, and the models that its engines can join. */
-final class DomainCount {
+/** Counts the eligible engines, the groups and the joinable engines by model of each fabric domain. */
+final class DomainInventory {
 
     private final EngineSpec spec;
     private final Map<InstanceId, Engine> engines;
     private final Map<InstanceId, PlannedGroup> groupOf = new HashMap<>();
-    private final Map<String, DomainEngines> out = new TreeMap<>();
+    private final Map<String, DomainCapacity> byDomain = new TreeMap<>();
 
-    DomainCount(EngineSpec spec, Collection<PlannedGroup> groups, Map<InstanceId, Engine> engines) {
+    DomainInventory(EngineSpec spec, Collection<PlannedGroup> groups, Map<InstanceId, Engine> engines) {
         this.spec = spec;
         this.engines = engines;
         for (PlannedGroup g : groups) {
             g.members().forEach(id -> groupOf.put(id, g));
         }
-        engines.values().forEach(this::count);
+        engines.values().forEach(this::addEngine);
         for (PlannedGroup g : groups) {
-            DomainEngines d = out.get(g.fabricDomain());
-            if (d != null && lasts(g)) {
+            DomainCapacity d = byDomain.get(g.fabricDomain());
+            if (d != null && isIntact(g)) {
                 d.groups().merge(g.model(), 1, Integer::sum);
             }
         }
     }
 
-    /** Gives the domains by their names' order. */
-    List<DomainEngines> domains() {
-        return new ArrayList<>(out.values());
+    /** Returns the domains, sorted by name. */
+    List<DomainCapacity> domains() {
+        return new ArrayList<>(byDomain.values());
     }
 
-    private void count(Engine e) {
+    private void addEngine(Engine e) {
         String domain = e.record().fabricDomain();
-        if (domain == null || !mayBeInGroup(e)) {
+        if (domain == null || !isEligible(e)) {
             return;
         }
-        DomainEngines before = out.computeIfAbsent(
-                domain, d -> new DomainEngines(d, e.record().failureDomain(), 0, new HashMap<>(), new HashMap<>()));
+        DomainCapacity counted = byDomain.computeIfAbsent(
+                domain, d -> new DomainCapacity(d, e.record().failureDomain(), 0, new HashMap<>(), new HashMap<>()));
         for (EngineModel m : spec.models()) {
             if (e.canJoin(m.name())) {
-                before.able().merge(m.name(), 1, Integer::sum);
+                counted.joinable().merge(m.name(), 1, Integer::sum);
             }
         }
-        out.put(domain, before.withOneMore());
+        byDomain.put(domain, counted.plusEngine());
     }
 
-    /** An engine that is only silent may serve on in its group; one in a group over several domains is no domain's own. */
-    private boolean mayBeInGroup(Engine e) {
+    /** A silent engine may still serve in its group. Members of a cross-domain group are not counted for any domain. */
+    private boolean isEligible(Engine e) {
         PlannedGroup g = groupOf.get(e.id());
         if (g == null) {
             return e.isUsable();
         }
-        return !g.fabricDomain().equals(GroupFormation.ACROSS) && (e.isUsable() || lasts(g));
+        return !g.fabricDomain().equals(GroupFormation.CROSS_DOMAIN) && (e.isUsable() || isIntact(g));
     }
 
-    private boolean lasts(PlannedGroup g) {
+    private boolean isIntact(PlannedGroup g) {
         if (g.isEnding()) {
             return false;
         }
--- a/serving/src/main/java/org/hallwall/serving/group/Engine.java
+++ b/serving/src/main/java/org/hallwall/serving/group/Engine.java
@@ -23,47 +23,47 @@
 import org.hallwall.serving.target.TargetRecord;
 
 /**
- * A model engine as the planner sees it.
+ * The state of a model engine, as input of the planners.
  *
- * @param record what it announced last
- * @param lastModel the model of its last group since it started, which it can join at once; null if it had none
- * @param lost whether it is held for dead
- * @param silent whether its heartbeats have failed to come
+ * @param record its last announcement
+ * @param lastModel the model of its last group since it started, which is still in memory; null if there was none
+ * @param lost whether it is considered dead
+ * @param silent whether it has missed heartbeats
  */
 public record Engine(TargetRecord record, String lastModel, boolean lost, boolean silent) {
 
     /**
-     * Gives the engine's name.
+     * Returns the engine's instance ID.
      *
-     * @return the name
+     * @return the instance ID
      */
     public InstanceId id() {
         return record.instance();
     }
 
     /**
-     * Says whether new work may be given to it.
+     * Returns whether the engine can be assigned to a group or a load.
      *
-     * @return true if it is neither lost nor silent nor leaving
+     * @return true if it is serving and neither lost nor silent
      */
     public boolean isUsable() {
         return !lost && !silent && record.isServing();
     }
 
     /**
-     * Says whether it announces to be in a group.
+     * Returns whether the engine announces membership of a group.
      *
      * @param name the group's name
      * @param epoch the group's epoch
-     * @return true if it does
+     * @return true if name and epoch match its announcement
      */
-    public boolean isIn(String name, long epoch) {
+    public boolean isMemberOf(String name, long epoch) {
         GroupMark m = record.group();
         return m != null && m.epoch() == epoch && m.name().equals(name);
     }
 
     /**
-     * Says whether its host holds a model.
+     * Returns whether a model is staged on the engine's host.
      *
      * @param model the model
      * @return true if it is staged
@@ -73,10 +73,10 @@
     }
 
     /**
-     * Says whether it can join a group of a model without a load from the store.
+     * Returns whether the engine can join a group of a model without a load from the weight store.
      *
      * @param model the model
-     * @return true if its host holds the model, or the engine itself does since its last group
+     * @return true if the model is staged on the host or was the model of the engine's last group
      */
     public boolean canJoin(String model) {
         return hasStaged(model) || model.equals(lastModel);
--- a/serving/src/main/java/org/hallwall/serving/group/GroupAction.java
+++ b/serving/src/main/java/org/hallwall/serving/group/GroupAction.java
@@ -19,10 +19,10 @@
 package org.hallwall.serving.group;
 
 /**
- * An order that the plan wants a target to have; the same one is given again until the target's word shows it.
+ * An order that the plan requires for a target; the plan repeats it until the target's announcement reflects it.
  *
  * @param target the target
  * @param order the order
- * @param reason why, for the log
+ * @param reason the reason, for the log
  */
 public record GroupAction(Engine target, TargetOrder order, String reason) {}
--- a/serving/src/main/java/org/hallwall/serving/group/GroupController.java
+++ b/serving/src/main/java/org/hallwall/serving/group/GroupController.java
@@ -47,138 +47,138 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Controls the groups while this voter leads. The leader's term is the fencing token; a lease check goes before each round of
- * orders.
+ * Controls the groups while this voter is the leader. The leader's term is the fencing token, and leadership is confirmed
+ * before each round of orders.
  */
 public final class GroupController implements Closeable {
 
     private static final Logger LOG = Logger.getLogger(GroupController.class);
-    private static final int RING = 512;
+    private static final int QUEUE_CAPACITY = 512;
     private static final long TICK_MILLIS = 50;
-    /** How long a new leader gathers what the other control instances have heard, in milliseconds: two polls. */
-    private static final long SETTLE_MILLIS = 800;
-    /** An order without an answer is given again after this, in milliseconds. */
-    private static final long RESEND_MILLIS = 350;
-    /** An order that was taken is given again if nothing is seen of it after this, in milliseconds. */
-    private static final long TAKEN_MILLIS = 2_500;
-    /** A load that was taken is given again if nothing is seen of it after this, in milliseconds. */
-    private static final long LOAD_TAKEN_MILLIS = 45_000;
+    /** How long a new leader collects heartbeats from the other control instances before it acts, in milliseconds: two polls. */
+    private static final long SETTLING_MILLIS = 800;
+    /** The retry delay of an order without an answer, in milliseconds. */
+    private static final long UNANSWERED_RETRY_MILLIS = 350;
+    /** The retry delay of an accepted order whose effect is not announced, in milliseconds. */
+    private static final long ACCEPTED_RETRY_MILLIS = 2_500;
+    /** The retry delay of an accepted load whose completion is not announced, in milliseconds. */
+    private static final long LOAD_RETRY_MILLIS = 45_000;
 
     private static final Duration ORDER_TIMEOUT = Duration.ofMillis(300);
-    /** An engine that was silent for this many heartbeats gets no new work. */
-    private static final double SILENT_HEARTBEATS = 2.5;
-    /** An engine that was silent for this long is held for dead, in milliseconds; a cut one may still serve before. */
-    private static final long LOST_MILLIS = 20_000;
+    /** The number of missed heartbeats after which an engine is not assigned to groups or loads. */
+    private static final double MISSED_HEARTBEATS = 2.5;
+    /** An engine without heartbeats for this long is considered dead, in milliseconds; a partitioned engine may serve until then. */
+    private static final long DEAD_AFTER_MILLIS = 20_000;
 
-    /** From this age of the process on, more loads than run at full speed are begun at the first start, in milliseconds. */
-    private static final long QUICK_MILLIS = 4_000;
-    /** After this time another full-speed number of loads is added, in milliseconds. */
-    private static final long QUICK_STEP_MILLIS = 1_000;
-    /** How long that goes on, in milliseconds: requests come 15 s after the instances start. */
-    private static final long QUICK_END_MILLIS = 6_500;
+    /** At the first start, the age of the process from which on the limits on loads are raised, in milliseconds. */
+    private static final long BOOST_START_MILLIS = 4_000;
+    /** The interval at which the limits on loads are raised by another multiple, in milliseconds. */
+    private static final long BOOST_STEP_MILLIS = 1_000;
+    /** How long the limits stay raised, in milliseconds; it ends before requests arrive, 15 s after the instances start. */
+    private static final long BOOST_DURATION_MILLIS = 6_500;
 
-    /** The time between two lines on the state of the groups, in milliseconds. */
-    private static final long REPORT_MILLIS = 2_000;
+    /** The interval between status lines in the log, in milliseconds. */
+    private static final long STATUS_INTERVAL_MILLIS = 2_000;
 
     private final LogVoter voter;
-    private final ControllerView view;
+    private final ControllerInputs inputs;
     private final TargetGateway gateway;
     private final Consumer<Set<InstanceId>> lostListener;
     private final ControllerTiming timing;
     private final Mechanisms mechanisms;
     private final Ticker ticker;
-    private final DutyThread duty;
+    private final DutyThread eventLoop;
     private final Map<String, GroupPlan> plans = new HashMap<>();
     private final Map<String, StagingPlan> stagings = new HashMap<>();
-    private final GivenOrders given = new GivenOrders();
-    private final Map<InstanceId, Long> unanswered = new HashMap<>();
-    private final Suspects suspects = new Suspects();
+    private final OrderTracker orderTracker = new OrderTracker();
+    private final Map<InstanceId, Long> unresponsiveAt = new HashMap<>();
+    private final SuspectTracker suspects = new SuspectTracker();
     private final GroupProbes probes;
     private final LoadPacer pacer = new LoadPacer();
     private final long startedAt;
     private long term = -1;
-    private long leadsSince;
-    private long reportedAt;
-    private boolean checking;
+    private long leaderSince;
+    private long lastStatusAt;
+    private boolean confirmingLeadership;
 
     /**
      * Creates a controller; {@link #start()} starts it.
      *
-     * @param voter tells whether this instance leads
-     * @param view what it looks at
-     * @param gateway speaks to targets
-     * @param lostListener told which targets are held for dead
-     * @param timing the limits
-     * @param mechanisms those in use
+     * @param voter the voter of this instance
+     * @param inputs the inputs of the decisions
+     * @param gateway sends orders and probes to targets
+     * @param lostListener receives the targets that are considered dead
+     * @param timing the time limits
+     * @param mechanisms the enabled mechanisms
      * @param ticker the clock
      */
     public GroupController(
             LogVoter voter,
-            ControllerView view,
+            ControllerInputs inputs,
             TargetGateway gateway,
             Consumer<Set<InstanceId>> lostListener,
             ControllerTiming timing,
             Mechanisms mechanisms,
             Ticker ticker) {
         this.voter = voter;
-        this.view = view;
+        this.inputs = inputs;
         this.gateway = gateway;
         this.lostListener = lostListener;
         this.timing = timing;
         this.mechanisms = mechanisms;
         this.ticker = ticker;
-        this.probes = new GroupProbes(gateway, view.directory(), this::noAnswer, ticker);
+        this.probes = new GroupProbes(gateway, inputs.directory(), this::markUnresponsive, ticker);
         this.startedAt = ticker.millis();
-        this.duty = new DutyThread("groups", RING, TICK_MILLIS, this::tick);
+        this.eventLoop = new DutyThread("groups", QUEUE_CAPACITY, TICK_MILLIS, this::confirmLeadership);
     }
 
-    /** Starts the thread. */
+    /** Starts the controller's thread. */
     public void start() {
-        duty.start();
+        eventLoop.start();
     }
 
-    /** Takes the next step soon, because something has changed. */
-    public void nudge() {
-        duty.offer(this::tick);
+    /** Schedules a step after a change. */
+    public void requestStep() {
+        eventLoop.offer(this::confirmLeadership);
     }
 
     /**
-     * Finds out whether a head whose streams stand still has lost a member.
+     * Probes the members of a group whose head has stalled.
      *
-     * @param report the report
-     * @return what was found; never an error
+     * @param report the report of the stalled head
+     * @return the finding; never an error
      */
-    public Mono<HeadFinding> stalled(StalledHead report) {
-        return onDuty(report.group(), () -> probe(report));
+    public Mono<HeadFinding> handleStalledHead(StalledHead report) {
+        return runOnEventLoop(report.group(), () -> probe(report));
     }
 
     /**
-     * Takes an entry's word on members that did not answer the controller.
+     * Applies an entry's finding on members that did not answer the controller.
      *
-     * @param finding what the entry found
+     * @param finding the entry's finding
      * @return whether the group has lost a member; never an error
      */
-    public Mono<HeadFinding> confirm(SuspectFinding finding) {
-        return onDuty(finding.group(), () -> {
+    public Mono<HeadFinding> handleSuspectFinding(SuspectFinding finding) {
+        return runOnEventLoop(finding.group(), () -> {
             long now = ticker.millis();
-            finding.reached().forEach(id -> suspects.reached(id, now));
+            finding.reached().forEach(id -> suspects.markReachable(id, now));
             for (InstanceId id : finding.silent()) {
                 LOG.warnf(
-                        "groups: an entry does not reach %s of group %s either, it is held for dead",
+                        "groups: an entry cannot reach %s of group %s either, considering it dead",
                         id, finding.group());
-                suspects.lost(id);
-                unanswered.put(id, now);
+                suspects.markLost(id);
+                unresponsiveAt.put(id, now);
             }
-            tick();
-            boolean works = finding.silent().isEmpty();
-            return Mono.just(finding(finding.group(), works ? GroupLiveness.WORKING : GroupLiveness.LOST));
+            confirmLeadership();
+            boolean working = finding.silent().isEmpty();
+            return Mono.just(finding(finding.group(), working ? GroupLiveness.WORKING : GroupLiveness.LOST));
         });
     }
 
-    private Mono<HeadFinding> onDuty(String group, Supplier<Mono<HeadFinding>> work) {
+    private Mono<HeadFinding> runOnEventLoop(String group, Supplier<Mono<HeadFinding>> work) {
         return Mono.create(sink -> {
-            if (!duty.offer(() -> work.get().subscribe(sink::success))) {
-                LOG.warnf("groups: too busy to judge %s", group);
+            if (!eventLoop.offer(() -> work.get().subscribe(sink::success))) {
+                LOG.warnf("groups: queue is full, the liveness of %s is unknown", group);
                 sink.success(finding(group, GroupLiveness.UNKNOWN));
             }
         });
@@ -190,90 +190,90 @@
 
     @Override
     public void close() {
-        duty.close();
+        eventLoop.close();
     }
 
-    private void tick() {
+    private void confirmLeadership() {
         if (!voter.holdsLease()) {
             lostListener.accept(Set.of());
             return;
         }
-        if (checking) {
+        if (confirmingLeadership) {
             return;
         }
-        checking = true;
+        confirmingLeadership = true;
         voter.readIndex()
-                .whenComplete((index, e) -> duty.offer(() -> {
-                    checking = false;
+                .whenComplete((index, e) -> eventLoop.offer(() -> {
+                    confirmingLeadership = false;
                     if (e == null) {
-                        lead();
+                        runStep();
                     }
                 }));
     }
 
-    private void lead() {
+    private void runStep() {
         long now = ticker.millis();
         long current = voter.state().term();
         if (current != term) {
-            LOG.infof("groups: controls the groups in term %d", current);
+            LOG.infof("groups: leading in term %d", current);
             term = current;
-            leadsSince = now;
+            leaderSince = now;
             plans.clear();
             stagings.clear();
-            given.clear();
-            if (!timing.firstStart() || now - startedAt > QUICK_MILLIS + QUICK_END_MILLIS) {
-                pacer.takeOver(now);
+            orderTracker.clear();
+            if (!timing.firstStart() || now - startedAt > BOOST_START_MILLIS + BOOST_DURATION_MILLIS) {
+                pacer.recordTakeover(now);
             }
         }
-        boolean settled = timing.firstStart() || now - leadsSince >= SETTLE_MILLIS;
-        if (!settled || now - startedAt < timing.hearAllMillis()) {
+        boolean settled = timing.firstStart() || now - leaderSince >= SETTLING_MILLIS;
+        if (!settled || now - startedAt < timing.discoveryMillis()) {
             return;
         }
-        List<KnownTarget> all = new ArrayList<>(view.directory().list());
+        List<KnownTarget> all = new ArrayList<>(inputs.directory().list());
         markLost(now, all);
-        for (TargetService s : view.configuration().get().engineServices().values()) {
-            stepService(now, s, all);
+        for (TargetService s : inputs.configuration().get().engineServices().values()) {
+            updateService(now, s, all);
         }
     }
 
-    private void stepService(long now, TargetService service, List<KnownTarget> all) {
+    private void updateService(long now, TargetService service, List<KnownTarget> all) {
         Map<InstanceId, Engine> engines = new HashMap<>();
         for (KnownTarget t : all) {
             if (t.record().service().equals(service.name())) {
-                engines.put(t.record().instance(), view(now, t));
+                engines.put(t.record().instance(), toEngine(now, t));
             }
         }
         EngineSpec spec = service.engine();
         GroupPlan plan = plans.computeIfAbsent(service.name(), n -> new GroupPlan(term, mechanisms));
         StagingPlan staging = stagings.computeIfAbsent(service.name(), n -> new StagingPlan(mechanisms));
-        for (GroupAction a : plan.step(now, spec, view.streams().get(), engines)) {
-            give(now, a);
+        for (GroupAction a : plan.step(now, spec, inputs.streams().get(), engines)) {
+            sendIfDue(now, a);
         }
         for (StageOrder o : staging.step(now, spec, plan.packing(), plan.free(engines), engines)) {
-            load(now, spec, staging, o);
+            startLoad(now, spec, staging, o);
         }
-        report(now, service.name(), plan, engines);
-        given.forget(id -> view.directory().find(id) == null);
-        endLoads(engines);
+        logStatus(now, service.name(), plan, engines);
+        orderTracker.removeTargets(id -> inputs.directory().find(id) == null);
+        releaseLoads(engines);
     }
 
-    /** One line now and then on what serves and what stands idle. */
-    private void report(long now, String service, GroupPlan plan, Map<InstanceId, Engine> engines) {
-        if (now - reportedAt < REPORT_MILLIS) {
+    /** Logs the serving groups and the idle engines at regular intervals. */
+    private void logStatus(long now, String service, GroupPlan plan, Map<InstanceId, Engine> engines) {
+        if (now - lastStatusAt < STATUS_INTERVAL_MILLIS) {
             return;
         }
-        reportedAt = now;
+        lastStatusAt = now;
         Map<String, Integer> idle = new TreeMap<>();
         plan.free(engines).forEach((domain, free) -> idle.put(domain, free.size()));
         long lost = engines.values().stream().filter(Engine::lost).count();
         LOG.infof(
                 "groups: %s: %s serve, idle by fabric domain %s, %d of %d engines lost, %d loads run",
                 service,
-                plan.open(engines),
+                plan.openGroupCounts(engines),
                 idle,
                 lost,
                 engines.size(),
-                pacer.loading().size());
+                pacer.runningLoads().size());
     }
 
     private void markLost(long now, List<KnownTarget> all) {
@@ -287,23 +287,23 @@
     }
 
     private boolean isLost(long now, KnownTarget t) {
-        Long failedAt = unanswered.get(t.record().instance());
+        Long failedAt = unresponsiveAt.get(t.record().instance());
         boolean replaced = t.record().presence() == TargetRecord.Presence.REPLACED;
         boolean failed = failedAt != null && failedAt > t.heardAt();
-        return replaced || failed || now - t.heardAt() > LOST_MILLIS;
+        return replaced || failed || now - t.heardAt() > DEAD_AFTER_MILLIS;
     }
 
-    private Engine view(long now, KnownTarget t) {
+    private Engine toEngine(long now, KnownTarget t) {
         long silence = now - t.heardAt();
         boolean lost = isLost(now, t);
-        boolean silent = silence > timing.heartbeatMillis() * SILENT_HEARTBEATS;
+        boolean silent = silence > timing.heartbeatMillis() * MISSED_HEARTBEATS;
         TargetRecord r = t.record();
         return new Engine(r, t.lastModel(), lost, silent);
     }
 
-    /** A load has ended when the target announces the model, or is lost. */
-    private void endLoads(Map<InstanceId, Engine> engines) {
-        pacer.loading().forEach((id, model) -> {
+    /** Releases loads whose target announces the model or is no longer usable. */
+    private void releaseLoads(Map<InstanceId, Engine> engines) {
+        pacer.runningLoads().forEach((id, model) -> {
             Engine e = engines.get(id);
             if (e != null && (!e.isUsable() || e.hasStaged(model))) {
                 pacer.ended(id);
@@ -311,66 +311,66 @@
         });
     }
 
-    /** Loads for spares leave room for those that a group waits for. */
-    private void load(long now, EngineSpec spec, StagingPlan staging, StageOrder order) {
-        GroupAction a = order.action();
-        int more = speedUp(now);
-        int atOnce = spec.loadsAtOnce() * more;
-        double rate = spec.loadsPerSecond() * more;
+    /** Starts a load if the limits allow it; loads of spares have lower limits than loads that complete a group. */
+    private void startLoad(long now, EngineSpec spec, StagingPlan staging, StageOrder order) {
+        GroupAction a = order.toAction();
+        int factor = loadLimitFactor(now);
+        int maxConcurrent = spec.loadsAtOnce() * factor;
+        double rate = spec.loadsPerSecond() * factor;
         InstanceId id = order.target().id();
-        boolean spare = order.isSpare() && more == 1;
-        boolean begins = given.isDue(a, now)
+        boolean spare = order.isSpare() && factor == 1;
+        boolean starts = orderTracker.isDue(a, now)
                 && (spare
-                        ? pacer.tryBeginSpare(id, order.model(), rate, atOnce, now)
-                        : pacer.tryBegin(id, order.model(), rate, atOnce, now));
-        if (begins) {
+                        ? pacer.tryBeginSpare(id, order.model(), rate, maxConcurrent, now)
+                        : pacer.tryBegin(id, order.model(), rate, maxConcurrent, now));
+        if (starts) {
             staging.begun(id);
             send(now, a);
         }
     }
 
     /**
-     * Loads that begin before the first request are quick, however long they last. So at the very first start the number that
-     * runs at once grows with time; the store shares its rate among them, and those begun first still end first.
+     * Returns the factor for the limits on loads. Loads that start before the first request do not compete with requests, so at
+     * the first start the factor grows with time. The store shares its bandwidth among loads, and earlier ones still end first.
      */
-    private int speedUp(long now) {
-        long age = now - startedAt - QUICK_MILLIS;
-        if (!timing.firstStart() || age < 0 || age > QUICK_END_MILLIS) {
+    private int loadLimitFactor(long now) {
+        long age = now - startedAt - BOOST_START_MILLIS;
+        if (!timing.firstStart() || age < 0 || age > BOOST_DURATION_MILLIS) {
             return 1;
         }
-        return 2 + (int) (age / QUICK_STEP_MILLIS);
+        return 2 + (int) (age / BOOST_STEP_MILLIS);
     }
 
-    private void give(long now, GroupAction a) {
-        if (given.isDue(a, now)) {
+    private void sendIfDue(long now, GroupAction a) {
+        if (orderTracker.isDue(a, now)) {
             send(now, a);
         }
     }
 
     private void send(long now, GroupAction a) {
         InstanceId id = a.target().id();
-        GivenOrders.GivenOrder order = given.give(a, now + RESEND_MILLIS);
+        OrderTracker.TrackedOrder order = orderTracker.recordSent(a, now + UNANSWERED_RETRY_MILLIS);
         long token = term;
         gateway.order(a.target().record(), a.order(), token, ORDER_TIMEOUT).subscribe(outcome -> {
             LOG.infof("groups: order %s to %s in term %d: %s (%s)", a.order(), id, token, outcome, a.reason());
-            duty.offer(() -> answered(id, order, outcome));
+            eventLoop.offer(() -> handleOutcome(id, order, outcome));
         });
     }
 
-    private void answered(InstanceId id, GivenOrders.GivenOrder order, OrderOutcome outcome) {
+    private void handleOutcome(InstanceId id, OrderTracker.TrackedOrder order, OrderOutcome outcome) {
         boolean load = order.isLoad();
-        boolean loads = load && outcome == OrderOutcome.CONFLICT;
-        if (outcome == OrderOutcome.TAKEN || loads) {
-            order.again(ticker.millis() + (load ? LOAD_TAKEN_MILLIS : TAKEN_MILLIS));
-            tick();
+        boolean loadInProgress = load && outcome == OrderOutcome.CONFLICT;
+        if (outcome == OrderOutcome.TAKEN || loadInProgress) {
+            order.scheduleRetry(ticker.millis() + (load ? LOAD_RETRY_MILLIS : ACCEPTED_RETRY_MILLIS));
+            confirmLeadership();
             return;
         }
         if (load) {
-            // it may not run, so it must not keep the place of another; its begin still counts towards the store's rate
+            // the load may not be running, so it frees its slot; its start still counts towards the store's rate
             pacer.ended(id);
         }
         if (outcome == OrderOutcome.UNKNOWN) {
-            probes.ask(id.value(), List.of(id)).subscribe();
+            probes.probe(id.value(), List.of(id)).subscribe();
         }
     }
 
@@ -389,26 +389,26 @@
 
     private Mono<HeadFinding> probe(String group, List<InstanceId> members) {
         long now = ticker.millis();
-        List<InstanceId> asked = new ArrayList<>(members);
-        asked.removeIf(id -> suspects.isReachedByEntries(id, now));
-        Mono<GroupLiveness> found = asked.isEmpty() ? Mono.just(GroupLiveness.WORKING) : probes.ask(group, asked);
-        return found.flatMap(liveness -> onDuty(group, () -> Mono.just(judge(group, members, liveness))));
+        List<InstanceId> probed = new ArrayList<>(members);
+        probed.removeIf(id -> suspects.isReachedByEntries(id, now));
+        Mono<GroupLiveness> found = probed.isEmpty() ? Mono.just(GroupLiveness.WORKING) : probes.probe(group, probed);
+        return found.flatMap(liveness -> runOnEventLoop(group, () -> Mono.just(toFinding(group, members, liveness))));
     }
 
-    /** Members that did not answer here, now or lately, are for the entry to ask. */
-    private HeadFinding judge(String group, List<InstanceId> members, GroupLiveness liveness) {
-        List<InstanceId> doubtful = suspects.among(members, ticker.millis());
-        boolean suspected = liveness != GroupLiveness.UNKNOWN && !doubtful.isEmpty();
-        return suspected ? new HeadFinding(group, GroupLiveness.SUSPECTED, doubtful) : finding(group, liveness);
+    /** Returns members that did not answer recently as suspects, which the entry probes. */
+    private HeadFinding toFinding(String group, List<InstanceId> members, GroupLiveness liveness) {
+        List<InstanceId> suspected = suspects.suspectsAmong(members, ticker.millis());
+        boolean hasSuspects = liveness != GroupLiveness.UNKNOWN && !suspected.isEmpty();
+        return hasSuspects ? new HeadFinding(group, GroupLiveness.SUSPECTED, suspected) : finding(group, liveness);
     }
 
-    private void noAnswer(InstanceId id) {
-        duty.offer(() -> {
-            suspects.doubt(id, ticker.millis());
-            boolean serves = plans.values().stream().anyMatch(p -> p.serves(id));
+    private void markUnresponsive(InstanceId id) {
+        eventLoop.offer(() -> {
+            suspects.suspect(id, ticker.millis());
+            boolean serves = plans.values().stream().anyMatch(p -> p.isInServingGroup(id));
             if (!serves) {
-                unanswered.put(id, ticker.millis());
-                tick();
+                unresponsiveAt.put(id, ticker.millis());
+                confirmLeadership();
             }
         });
     }
--- a/serving/src/main/java/org/hallwall/serving/group/GroupFormation.java
+++ b/serving/src/main/java/org/hallwall/serving/group/GroupFormation.java
@@ -34,178 +34,176 @@
 import org.hallwall.serving.decision.Mechanism;
 import org.hallwall.serving.decision.Mechanisms;
 
-/**
- * Forms groups of free engines and ends groups whose engines are wanted for others, both by one packing over all fabric domains.
- */
+/** Forms groups of free engines and retires groups whose engines are needed for others, by one packing over all fabric domains. */
 final class GroupFormation {
 
-    /** Stands for the fabric domain of a group over several. */
-    static final String ACROSS = "several";
-    /** The packing is decided anew after this time, in milliseconds, though nothing but the demand has changed. */
-    private static final long PACK_MILLIS = 500;
-    /** How long engines stand idle before they form a group that their domain does not lack, in milliseconds: longer than a repair. */
-    private static final long IDLE_MILLIS = 1_500;
+    /** The fabric domain of a cross-domain group. */
+    static final String CROSS_DOMAIN = "several";
+    /** The interval at which the packing is recomputed when engines and groups have not changed, in milliseconds. */
+    private static final long REPACK_INTERVAL_MILLIS = 500;
+    /** How long engines are idle before they form a group beyond the packing, in milliseconds: longer than a repair. */
+    private static final long MIN_IDLE_MILLIS = 1_500;
 
     private final Mechanisms mechanisms;
     private final Map<String, PlannedGroup> groups;
     private final LongSupplier nextEpoch;
-    private final Consumer<InstanceId> chosenListener;
-    private final SmoothedStreams asked = new SmoothedStreams();
-    private final IdleTimes idleTimes = new IdleTimes();
-    private final SlowGroups slow = new SlowGroups();
-    private List<DomainEngines> packed = List.of();
+    private final Consumer<InstanceId> assignmentListener;
+    private final StreamAverage averageStreams = new StreamAverage();
+    private final IdleTracker idleTimes = new IdleTracker();
+    private final CrossDomainGroups crossDomainGroups = new CrossDomainGroups();
+    private List<DomainCapacity> packedDomains = List.of();
     private Packing packing = Packing.NONE;
     private long packedAt;
 
     /**
-     * Creates it.
+     * Creates the formation.
      *
-     * @param mechanisms those in use
+     * @param mechanisms the enabled mechanisms
      * @param groups the groups of the plan, to which new ones are added
-     * @param nextEpoch gives the epoch of a new group
-     * @param chosenListener told which engines were chosen for a group
+     * @param nextEpoch supplies the epoch of a new group
+     * @param assignmentListener receives the engines that are assigned to a group
      */
     GroupFormation(
             Mechanisms mechanisms,
             Map<String, PlannedGroup> groups,
             LongSupplier nextEpoch,
-            Consumer<InstanceId> chosenListener) {
+            Consumer<InstanceId> assignmentListener) {
         this.mechanisms = mechanisms;
         this.groups = groups;
         this.nextEpoch = nextEpoch;
-        this.chosenListener = chosenListener;
+        this.assignmentListener = assignmentListener;
     }
 
-    /** Gives the packing of the last decision. */
+    /** Returns the current packing. */
     Packing packing() {
         return packing;
     }
 
-    /** Decides anew how many groups each domain should hold, when engines or groups have changed or demand may have. */
-    void decide(long now, EngineSpec spec, Map<String, Integer> streams, Map<InstanceId, Engine> engines) {
-        asked.take(now, streams);
-        List<DomainEngines> domains = new DomainCount(spec, groups.values(), engines).domains();
-        if (!domains.equals(packed) || now - packedAt >= PACK_MILLIS) {
-            int count = domains.stream().mapToInt(DomainEngines::engines).sum();
-            ModelDemand demand = new ModelDemand(spec, asked.smoothed(), count);
-            packing = PackingSearch.decide(demand, domains, mechanisms.has(Mechanism.SPARES));
-            packed = domains;
+    /** Recomputes the packing if engines or groups have changed, or at regular intervals as demand changes. */
+    void updatePacking(long now, EngineSpec spec, Map<String, Integer> streams, Map<InstanceId, Engine> engines) {
+        averageStreams.update(now, streams);
+        List<DomainCapacity> domains = new DomainInventory(spec, groups.values(), engines).domains();
+        if (!domains.equals(packedDomains) || now - packedAt >= REPACK_INTERVAL_MILLIS) {
+            int count = domains.stream().mapToInt(DomainCapacity::engines).sum();
+            ModelDemand demand = new ModelDemand(spec, averageStreams.byModel(), count);
+            packing = PackingSearch.findPacking(demand, domains, mechanisms.has(Mechanism.SPARES));
+            packedDomains = domains;
             packedAt = now;
         }
     }
 
     // --- forming
 
-    /** Forms groups; each changes which engines are free. */
-    void form(long now, EngineSpec spec, Supplier<Map<String, List<Engine>>> free) {
-        Map<String, List<Engine>> before = free.get();
-        idleTimes.take(now, before);
-        before.forEach((domain, engines) -> formIn(now, spec, domain, engines));
+    /** Forms groups; the free engines are read again after groups within domains have formed. */
+    void formGroups(long now, EngineSpec spec, Supplier<Map<String, List<Engine>>> free) {
+        Map<String, List<Engine>> freeByDomain = free.get();
+        idleTimes.update(now, freeByDomain);
+        freeByDomain.forEach((domain, engines) -> formInDomain(now, spec, domain, engines));
         if (mechanisms.has(Mechanism.FAR_GROUPS)) {
-            formAcross(now, spec, free.get());
+            formCrossDomain(now, spec, free.get());
         }
     }
 
-    /** First the groups that the domain lacks, then, from engines that stand idle beyond its spares, any that can be formed. */
-    private void formIn(long now, EngineSpec spec, String domain, List<Engine> free) {
-        List<Engine> left = new ArrayList<>(free);
+    /** Forms the groups that the domain lacks, then further groups from idle engines beyond its spares. */
+    private void formInDomain(long now, EngineSpec spec, String domain, List<Engine> free) {
+        List<Engine> available = new ArrayList<>(free);
         Map<String, Integer> formed = new HashMap<>();
-        EngineModel next = lackingModel(spec, domain, left, formed);
+        EngineModel next = neededModel(spec, domain, available, formed);
         while (next != null) {
-            formOne(now, next, domain, left);
+            formGroup(now, next, domain, available);
             formed.merge(next.name(), 1, Integer::sum);
-            next = lackingModel(spec, domain, left, formed);
+            next = neededModel(spec, domain, available, formed);
         }
-        List<Engine> idle = idleTimes.longerThan(now, IDLE_MILLIS, left);
-        int surplus = idle.size() - packing.spares(spec, domain);
+        List<Engine> idle = idleTimes.idleLongerThan(now, MIN_IDLE_MILLIS, available);
+        int surplus = idle.size() - packing.spareCount(spec, domain);
         next = surplusModel(spec, idle, surplus);
         while (next != null) {
-            formOne(now, next, domain, idle);
+            formGroup(now, next, domain, idle);
             surplus -= next.size();
             next = surplusModel(spec, idle, surplus);
         }
     }
 
-    /** Finds the model whose next group is worth most among those that the domain lacks and that free engines can form. */
-    private EngineModel lackingModel(EngineSpec spec, String domain, List<Engine> free, Map<String, Integer> formed) {
+    /** Returns the model with the highest marginal utility among those with a deficit that free engines can form, or null. */
+    private EngineModel neededModel(EngineSpec spec, String domain, List<Engine> free, Map<String, Integer> formed) {
         EngineModel best = null;
-        double most = 0;
+        double bestUtility = 0;
         for (EngineModel m : spec.models()) {
-            int lacking = packing.lacking(domain, m.name()) - formed.getOrDefault(m.name(), 0);
-            double worth = packing.demand().nextWorth(m, count(m));
-            if (lacking > 0 && countAble(m, free) >= m.size() && worth > most) {
-                most = worth;
+            int deficit = packing.deficit(domain, m.name()) - formed.getOrDefault(m.name(), 0);
+            double utility = packing.demand().marginalUtility(m, countActive(m));
+            if (deficit > 0 && countJoinable(m, free) >= m.size() && utility > bestUtility) {
+                bestUtility = utility;
                 best = m;
             }
         }
         return best;
     }
 
-    /** Finds the model whose next group is worth most for each engine among those that idle engines can form. */
+    /** Returns the model with the highest marginal utility per engine among those that idle engines can form, or null. */
     private EngineModel surplusModel(EngineSpec spec, List<Engine> idle, int surplus) {
         EngineModel best = null;
-        double most = 0;
+        double bestUtility = 0;
         for (EngineModel m : spec.models()) {
-            if (m.size() > surplus || countAble(m, idle) < m.size()) {
+            if (m.size() > surplus || countJoinable(m, idle) < m.size()) {
                 continue;
             }
-            double worth = packing.demand().nextWorth(m, count(m)) / m.size();
-            if (worth > most) {
-                most = worth;
+            double utility = packing.demand().marginalUtility(m, countActive(m)) / m.size();
+            if (utility > bestUtility) {
+                bestUtility = utility;
                 best = m;
             }
         }
         return best;
     }
 
-    /** Forms slower groups over several fabric domains from engines that stand idle. */
-    private void formAcross(long now, EngineSpec spec, Map<String, List<Engine>> free) {
-        List<Engine> idle = slow.idle(now, free);
+    /** Forms cross-domain groups from idle engines. */
+    private void formCrossDomain(long now, EngineSpec spec, Map<String, List<Engine>> free) {
+        List<Engine> idle = crossDomainGroups.idle(now, free);
         for (EngineModel m : spec.models()) {
-            for (int left = slow.wanted(m, countAll(m), idle); left > 0; left--) {
-                formOne(now, m, ACROSS, idle);
+            for (int remaining = crossDomainGroups.groupsToForm(m, countAll(m), idle); remaining > 0; remaining--) {
+                formGroup(now, m, CROSS_DOMAIN, idle);
             }
         }
     }
 
-    private void formOne(long now, EngineModel model, String domain, List<Engine> left) {
-        List<Engine> able = new ArrayList<>(
-                left.stream().filter(e -> e.canJoin(model.name())).toList());
-        // Engines that held the model in their last group join at once.
-        able.sort(Comparator.comparing((Engine e) -> !model.name().equals(e.lastModel())));
-        List<Engine> chosen = List.copyOf(able.subList(0, model.size()));
-        left.removeAll(chosen);
-        chosen.forEach(e -> chosenListener.accept(e.id()));
+    private void formGroup(long now, EngineModel model, String domain, List<Engine> available) {
+        List<Engine> joinable = new ArrayList<>(
+                available.stream().filter(e -> e.canJoin(model.name())).toList());
+        // engines whose last group had the model join without loading it from the host
+        joinable.sort(Comparator.comparing((Engine e) -> !model.name().equals(e.lastModel())));
+        List<Engine> chosen = List.copyOf(joinable.subList(0, model.size()));
+        available.removeAll(chosen);
+        chosen.forEach(e -> assignmentListener.accept(e.id()));
         long epoch = nextEpoch.getAsLong();
         List<InstanceId> members = chosen.stream().map(Engine::id).toList();
         PlannedGroup g = new PlannedGroup("g" + epoch, epoch, model.name(), domain, members, now);
         groups.put(g.name(), g);
     }
 
-    // --- ending
+    // --- retiring
 
-    /** Ends groups whose engines are wanted for better ones, few at a time, so that little capacity is missing. */
-    void retire(EngineSpec spec, Map<String, List<Engine>> free, Map<InstanceId, Engine> engines) {
+    /** Retires groups whose engines are needed for better ones, a few at a time to limit the loss of capacity. */
+    void retireGroups(EngineSpec spec, Map<String, List<Engine>> free, Map<InstanceId, Engine> engines) {
         for (EngineModel m : spec.models()) {
-            retireSlow(m, free, engines);
+            retireCrossDomain(m, free, engines);
         }
         if (!mechanisms.has(Mechanism.TAKE_APART)) {
             return;
         }
         for (String domain : packing.domains().keySet()) {
             for (EngineModel m : spec.models()) {
-                if (packing.lacking(domain, m.name()) > 0) {
-                    retireFor(domain, m, countAble(m, free.getOrDefault(domain, List.of())), engines);
+                if (packing.deficit(domain, m.name()) > 0) {
+                    retireSurplus(domain, m, countJoinable(m, free.getOrDefault(domain, List.of())), engines);
                 }
             }
         }
     }
 
     /**
-     * Ends a group over several fabric domains when one of them could form a group from its members there and engines that are
-     * free beside them: that one is faster by a factor. One at a time for each model.
+     * Retires a cross-domain group when one of its domains could form a faster group from the members there and free engines;
+     * one at a time for each model.
      */
-    private void retireSlow(EngineModel m, Map<String, List<Engine>> free, Map<InstanceId, Engine> engines) {
+    private void retireCrossDomain(EngineModel m, Map<String, List<Engine>> free, Map<InstanceId, Engine> engines) {
         List<PlannedGroup> ofModel =
                 groups.values().stream().filter(g -> g.model().equals(m.name())).toList();
         if (ofModel.stream().anyMatch(PlannedGroup::isRetiring)) {
@@ -213,49 +211,49 @@
         }
         for (PlannedGroup g : ofModel) {
             boolean serves = g.hasServed() && !g.isClosing();
-            if (serves && SlowGroups.couldBeFaster(m, g.members(), free, engines)) {
-                g.retire();
+            if (serves && CrossDomainGroups.canFormInOneDomain(m, g.members(), free, engines)) {
+                g.markRetiring();
                 return;
             }
         }
     }
 
     /**
-     * Ends groups of which a domain has more than it should, when their engines and free ones can form a group that it lacks:
-     * otherwise a large group that has ended never comes back where small ones have taken its engines.
+     * Retires surplus groups of a domain when their engines and free ones can form a group that it lacks. Without this, a large
+     * group could not form again once small groups have taken its engines.
      */
-    private void retireFor(String domain, EngineModel lacking, int free, Map<InstanceId, Engine> engines) {
-        int able = free;
+    private void retireSurplus(String domain, EngineModel needed, int free, Map<InstanceId, Engine> engines) {
+        int joinable = free;
         List<PlannedGroup> chosen = new ArrayList<>();
-        Map<String, Integer> taken = new HashMap<>();
+        Map<String, Integer> chosenByModel = new HashMap<>();
         for (PlannedGroup g : groups.values()) {
-            if (!g.fabricDomain().equals(domain) || able >= lacking.size()) {
+            if (!g.fabricDomain().equals(domain) || joinable >= needed.size()) {
                 continue;
             }
-            int surplus = -packing.lacking(domain, g.model()) - taken.getOrDefault(g.model(), 0);
-            boolean ends = g.isEnding();
-            if (!ends && (!g.hasServed() || surplus <= 0)) {
+            int surplus = -packing.deficit(domain, g.model()) - chosenByModel.getOrDefault(g.model(), 0);
+            boolean ending = g.isEnding();
+            if (!ending && (!g.hasServed() || surplus <= 0)) {
                 continue;
             }
             List<Engine> known = g.members().stream()
                     .map(engines::get)
                     .filter(Objects::nonNull)
                     .toList();
-            int members = countAble(lacking, known);
-            able += members;
-            if (!ends && members > 0) {
+            int members = countJoinable(needed, known);
+            joinable += members;
+            if (!ending && members > 0) {
                 chosen.add(g);
-                taken.merge(g.model(), 1, Integer::sum);
+                chosenByModel.merge(g.model(), 1, Integer::sum);
             }
         }
-        if (able >= lacking.size()) {
-            chosen.forEach(PlannedGroup::retire);
+        if (joinable >= needed.size()) {
+            chosen.forEach(PlannedGroup::markRetiring);
         }
     }
 
     // --- counts
 
-    private int count(EngineModel m) {
+    private int countActive(EngineModel m) {
         int out = 0;
         for (PlannedGroup g : groups.values()) {
             out += g.model().equals(m.name()) && !g.isEnding() ? 1 : 0;
@@ -271,7 +269,7 @@
         return out;
     }
 
-    private static int countAble(EngineModel m, List<Engine> engines) {
+    private static int countJoinable(EngineModel m, List<Engine> engines) {
         int out = 0;
         for (Engine e : engines) {
             out += e.canJoin(m.name()) ? 1 : 0;
--- a/serving/src/main/java/org/hallwall/serving/group/GroupPlan.java
+++ b/serving/src/main/java/org/hallwall/serving/group/GroupPlan.java
@@ -37,73 +37,73 @@
 import org.hallwall.serving.target.GroupState;
 
 /**
- * Decides which engines form groups, and takes groups apart that lost a member. It neither does I/O nor reads a clock.
+ * Decides which engines form groups, and dissolves groups that lost a member. It neither does I/O nor reads a clock.
  *
- * <p>It believes only what engines announce. An engine is free for another group only if no head can still count on it: the
+ * <p>Decisions rely only on announcements of engines. An engine is free for another group only if no head can still use it: the
  * head of its last group has announced that it no longer serves, or the engine itself has announced that it has left.
  */
 public final class GroupPlan {
 
-    /** How long members may take to join when their hosts hold the model, besides the load itself, in milliseconds. */
+    /** The time that members have to join a group in addition to loads from their hosts, in milliseconds. */
     private static final long JOIN_MARGIN_MILLIS = 4_000;
-    /** How long a closing head may finish its work before it is told to leave; the platform's bound is 10 s. */
-    private static final long CLOSE_MILLIS = 9_000;
-    /** The same for a group whose members are wanted for a better one, in milliseconds: most streams end, the rest move. */
-    private static final long RETIRE_MILLIS = 2_000;
-    /** Room for the counter below the term in an epoch. */
-    private static final long EPOCHS_A_TERM = 1_000_000L;
+    /** How long a closing head may drain before it is ordered to leave, in milliseconds; the platform's limit is 10 s. */
+    private static final long CLOSE_TIMEOUT_MILLIS = 9_000;
+    /** How long a head may drain when its members are needed for a better group, in milliseconds; remaining streams move. */
+    private static final long RETIRE_TIMEOUT_MILLIS = 2_000;
+    /** The number of epochs per term; the epoch is the term times this, plus a counter. */
+    private static final long EPOCHS_PER_TERM = 1_000_000L;
 
     private final long term;
     private final Map<String, PlannedGroup> groups = new LinkedHashMap<>();
-    private final Set<String> finished = new HashSet<>();
-    private final Set<String> ended = new HashSet<>();
+    private final Set<String> finishedGroups = new HashSet<>();
+    private final Set<String> endedGroups = new HashSet<>();
     private final Map<String, Long> closingSince = new HashMap<>();
-    /** Groups whose heads were told to open; one that still announces that it is ready may be open already. */
-    private final Set<String> toldToOpen = new HashSet<>();
+    /** Groups whose heads were ordered to open; a head that still announces READY may be open already. */
+    private final Set<String> orderedToOpen = new HashSet<>();
 
     private final SpareWarmUp warmUp = new SpareWarmUp(this::nextEpoch);
     private final GroupFormation formation;
-    private long counter;
+    private long epochCounter;
     private List<GroupAction> actions = new ArrayList<>();
 
     /**
      * Creates a plan without groups.
      *
      * @param term the controller's term; epochs of a later term are higher
-     * @param mechanisms those in use
+     * @param mechanisms the enabled mechanisms
      */
     public GroupPlan(long term, Mechanisms mechanisms) {
         this.term = term;
-        this.formation = new GroupFormation(mechanisms, groups, this::nextEpoch, warmUp::joined);
+        this.formation = new GroupFormation(mechanisms, groups, this::nextEpoch, warmUp::recordAssigned);
     }
 
     /**
-     * Takes one step.
+     * Updates the plan and returns the orders that it requires.
      *
-     * @param now the clock in milliseconds
-     * @param spec what is known of the service's engines
-     * @param streams the streams that want a slot, by model
+     * @param now the current time in milliseconds
+     * @param spec the parameters of the service's engines
+     * @param streams the streams in progress or refused, by model
      * @param engines all engines of the service
-     * @return the orders that engines should have
+     * @return the required orders
      */
     public List<GroupAction> step(
             long now, EngineSpec spec, Map<String, Integer> streams, Map<InstanceId, Engine> engines) {
         actions = new ArrayList<>();
-        adopt(now, spec, engines);
+        adoptGroups(now, spec, engines);
         for (PlannedGroup g : List.copyOf(groups.values())) {
-            review(now, spec, g, engines);
+            updateGroup(now, spec, g, engines);
         }
-        leaveSilentHeads(engines);
-        formation.decide(now, spec, streams, engines);
-        formation.retire(spec, free(engines), engines);
-        formation.form(now, spec, () -> free(engines));
+        leaveLostHeads(engines);
+        formation.updatePacking(now, spec, streams, engines);
+        formation.retireGroups(spec, free(engines), engines);
+        formation.formGroups(now, spec, () -> free(engines));
         joinNewGroups(now, engines);
         free(engines).values().forEach(spares -> actions.addAll(warmUp.step(spec, spares, engines.values())));
         return actions;
     }
 
     /**
-     * Lists the groups.
+     * Returns the planned groups.
      *
      * @return the groups
      */
@@ -112,18 +112,18 @@
     }
 
     /**
-     * Counts the groups that serve.
+     * Counts the open groups.
      *
      * @param engines all engines of the service
-     * @return how many by model
+     * @return the number of open groups by model; zero for a model whose groups are all not open
      */
-    public Map<String, Integer> open(Map<InstanceId, Engine> engines) {
+    public Map<String, Integer> openGroupCounts(Map<InstanceId, Engine> engines) {
         Map<String, Integer> out = new TreeMap<>();
         for (PlannedGroup g : groups.values()) {
             Engine head = engines.get(g.head());
             boolean open = head != null
                     && !head.lost()
-                    && head.isIn(g.name(), g.epoch())
+                    && head.isMemberOf(g.name(), g.epoch())
                     && head.record().group().state() == GroupState.OPEN;
             out.merge(g.model(), open ? 1 : 0, Integer::sum);
         }
@@ -131,7 +131,7 @@
     }
 
     /**
-     * Finds the members of a group.
+     * Returns the members of a group.
      *
      * @param name the group's name
      * @return the members; empty if the group is not planned
@@ -142,12 +142,12 @@
     }
 
     /**
-     * Says whether an engine is a member of a group that has served and does not end.
+     * Returns whether an engine is a member of a group that has served and is not ending.
      *
      * @param engine the engine
-     * @return true if callers' streams may depend on it
+     * @return true if streams may depend on it
      */
-    boolean serves(InstanceId engine) {
+    boolean isInServingGroup(InstanceId engine) {
         for (PlannedGroup g : groups.values()) {
             if (g.hasServed() && !g.isEnding() && g.members().contains(engine)) {
                 return true;
@@ -157,18 +157,18 @@
     }
 
     /**
-     * Lists the engines that are free for a new group or another model.
+     * Returns the engines that are free for a new group or another model.
      *
      * @param engines all engines of the service
      * @return the free engines by fabric domain
      */
     public Map<String, List<Engine>> free(Map<InstanceId, Engine> engines) {
-        Set<InstanceId> taken = new HashSet<>();
-        groups.values().forEach(g -> taken.addAll(g.members()));
+        Set<InstanceId> assigned = new HashSet<>();
+        groups.values().forEach(g -> assigned.addAll(g.members()));
         Map<String, List<Engine>> out = new TreeMap<>();
         for (Engine e : engines.values()) {
             String domain = e.record().fabricDomain();
-            if (domain != null && e.isUsable() && !taken.contains(e.id()) && isReleased(e, engines)) {
+            if (domain != null && e.isUsable() && !assigned.contains(e.id()) && isReleased(e, engines)) {
                 out.computeIfAbsent(domain, d -> new ArrayList<>()).add(e);
             }
         }
@@ -176,13 +176,13 @@
         return out;
     }
 
-    // --- groups that another controller has formed, or whose head is heard again
+    // --- groups of a previous controller, or whose head has recovered
 
-    private void adopt(long now, EngineSpec spec, Map<InstanceId, Engine> engines) {
+    private void adoptGroups(long now, EngineSpec spec, Map<InstanceId, Engine> engines) {
         for (Engine e : engines.values()) {
             GroupMark m = e.record().group();
             boolean isHead = m != null && m.rank() == 0 && !e.lost();
-            if (!isHead || groups.containsKey(m.name()) || finished.contains(m.name())) {
+            if (!isHead || groups.containsKey(m.name()) || finishedGroups.contains(m.name())) {
                 continue;
             }
             List<InstanceId> members = membersOf(m, engines.values());
@@ -193,12 +193,12 @@
                         m.name(), m.epoch(), model.name(), e.record().fabricDomain(), members, now);
                 groups.put(g.name(), g);
                 if (m.state() == GroupState.READY) {
-                    // the controller before may have told it to open a moment ago
-                    toldToOpen.add(g.name());
+                    // the previous controller may have ordered it to open
+                    orderedToOpen.add(g.name());
                 }
-            } else if (holdsMembers(m)) {
-                actions.add(
-                        new GroupAction(e, new TargetOrder.Leave(m.name(), m.epoch()), "a group of unknown members"));
+            } else if (mayUseMembers(m)) {
+                actions.add(new GroupAction(
+                        e, new TargetOrder.Leave(m.name(), m.epoch()), "members of the group are unknown"));
             }
         }
     }
@@ -215,83 +215,83 @@
 
     // --- groups of the plan
 
-    private void review(long now, EngineSpec spec, PlannedGroup g, Map<InstanceId, Engine> engines) {
+    private void updateGroup(long now, EngineSpec spec, PlannedGroup g, Map<InstanceId, Engine> engines) {
         Engine head = engines.get(g.head());
         if (head == null || head.lost()) {
-            // not finished: a head that was only cut off may be heard again, still serving with its members
+            // not marked as finished: the head may only be partitioned and still serve with its members
             groups.remove(g.name());
             closingSince.remove(g.name());
             return;
         }
-        GroupMark mark = head.isIn(g.name(), g.epoch()) ? head.record().group() : null;
+        GroupMark mark = head.isMemberOf(g.name(), g.epoch()) ? head.record().group() : null;
         GroupState state = mark == null ? null : mark.state();
         if (state == GroupState.OPEN) {
-            g.serves();
+            g.markServed();
         }
         if (state == GroupState.BROKEN || (g.hasServed() && (state == null || !state.hasJoined()))) {
-            drop(g);
+            removeGroup(g);
             return;
         }
-        boolean holds = state != null && state.holdsMembers();
+        boolean holdsMembers = state != null && state.holdsMembers();
         if (hasLostMember(g, engines)) {
-            breakUp(g, head, holds, "a member is lost");
+            dissolve(g, head, holdsMembers, "a member is lost");
         } else if (hasLeavingMember(g, engines)) {
-            finish(now, g, head, holds, "a member leaves", CLOSE_MILLIS);
+            drain(now, g, head, holdsMembers, "a member is leaving", CLOSE_TIMEOUT_MILLIS);
         } else if (g.isRetiring()) {
-            finish(now, g, head, holds, "its members are wanted for a better group", RETIRE_MILLIS);
-        } else if (!holds) {
-            advance(now, spec, g, head, state, engines);
+            drain(now, g, head, holdsMembers, "its members are needed for a better group", RETIRE_TIMEOUT_MILLIS);
+        } else if (!holdsMembers) {
+            advanceFormation(now, spec, g, head, state, engines);
         }
     }
 
-    /** A head that was told to open may do so late; it leaves before its members are let go. */
-    private void breakUp(PlannedGroup g, Engine head, boolean holds, String reason) {
-        boolean mayOpen = toldToOpen.contains(g.name()) && head.isIn(g.name(), g.epoch());
-        if (holds || mayOpen) {
+    /** Dissolves a group. A head that may serve, or may still execute an order to open, leaves before the members are released. */
+    private void dissolve(PlannedGroup g, Engine head, boolean holdsMembers, String reason) {
+        boolean mayOpen = orderedToOpen.contains(g.name()) && head.isMemberOf(g.name(), g.epoch());
+        if (holdsMembers || mayOpen) {
             actions.add(new GroupAction(head, new TargetOrder.Leave(g.name(), g.epoch()), reason));
         } else {
-            drop(g);
+            removeGroup(g);
         }
     }
 
-    private void finish(long now, PlannedGroup g, Engine head, boolean holds, String reason, long mostMillis) {
-        if (!holds) {
-            breakUp(g, head, false, reason);
+    private void drain(long now, PlannedGroup g, Engine head, boolean holdsMembers, String reason, long timeoutMillis) {
+        if (!holdsMembers) {
+            dissolve(g, head, false, reason);
             return;
         }
         long since = closingSince.computeIfAbsent(g.name(), n -> now);
-        g.close();
-        if (now - since > mostMillis) {
-            breakUp(g, head, true, reason + " and the work does not end");
+        g.markClosing();
+        if (now - since > timeoutMillis) {
+            dissolve(g, head, true, reason + " and its work did not finish in time");
         } else {
             actions.add(new GroupAction(head, new TargetOrder.Close(g.name(), g.epoch()), reason));
         }
     }
 
-    private void advance(
+    private void advanceFormation(
             long now, EngineSpec spec, PlannedGroup g, Engine head, GroupState state, Map<InstanceId, Engine> engines) {
-        boolean all = true;
+        boolean allJoined = true;
         for (InstanceId id : g.members()) {
             Engine e = engines.get(id);
-            GroupMark m = e.isIn(g.name(), g.epoch()) ? e.record().group() : null;
+            GroupMark m = e.isMemberOf(g.name(), g.epoch()) ? e.record().group() : null;
             if (m == null) {
                 TargetOrder join = new TargetOrder.Join(g.name(), g.epoch(), g.model(), g.members());
                 actions.add(new GroupAction(e, join, "forms a group"));
             }
-            all &= m != null && m.state().hasJoined();
+            allJoined &= m != null && m.state().hasJoined();
         }
-        if (all && state == GroupState.READY && !g.isClosing()) {
-            toldToOpen.add(g.name());
+        if (allJoined && state == GroupState.READY && !g.isClosing()) {
+            orderedToOpen.add(g.name());
             actions.add(new GroupAction(head, new TargetOrder.Open(g.name(), g.epoch()), "all members are ready"));
-        } else if (now - g.since() > joinLimit(spec, g)) {
-            breakUp(g, head, false, "its members do not get ready");
+        } else if (now - g.createdAt() > joinTimeoutMillis(spec, g)) {
+            dissolve(g, head, false, "its members did not become ready in time");
         }
     }
 
-    private static long joinLimit(EngineSpec spec, PlannedGroup g) {
+    private static long joinTimeoutMillis(EngineSpec spec, PlannedGroup g) {
         EngineModel m = spec.model(g.model());
-        double warm = m == null ? 0 : m.warmSeconds();
-        return JOIN_MARGIN_MILLIS + (long) (warm * 2_000);
+        double warmSeconds = m == null ? 0 : m.warmSeconds();
+        return JOIN_MARGIN_MILLIS + (long) (warmSeconds * 2_000);
     }
 
     private static boolean hasLostMember(PlannedGroup g, Map<InstanceId, Engine> engines) {
@@ -300,7 +300,7 @@
             if (e == null || e.lost()) {
                 return true;
             }
-            if (g.hasServed() && !e.isIn(g.name(), g.epoch())) {
+            if (g.hasServed() && !e.isMemberOf(g.name(), g.epoch())) {
                 return true;
             }
         }
@@ -316,18 +316,18 @@
         return false;
     }
 
-    /** Ends a group whose head has announced that it does not count on its members. */
-    private void drop(PlannedGroup g) {
+    /** Removes a group whose head has announced that it does not use its members. */
+    private void removeGroup(PlannedGroup g) {
         groups.remove(g.name());
         closingSince.remove(g.name());
-        toldToOpen.remove(g.name());
-        finished.add(g.name());
-        ended.add(g.name());
+        orderedToOpen.remove(g.name());
+        finishedGroups.add(g.name());
+        endedGroups.add(g.name());
     }
 
-    /** Says whether a head may count on its members, by what it announces and what it was told since. */
-    private boolean holdsMembers(GroupMark head) {
-        return head.state().holdsMembers() || head.state() == GroupState.READY && toldToOpen.contains(head.name());
+    /** Returns whether a head may use its members, by its announcement and the orders sent since. */
+    private boolean mayUseMembers(GroupMark head) {
+        return head.state().holdsMembers() || head.state() == GroupState.READY && orderedToOpen.contains(head.name());
     }
 
     // --- free engines
@@ -338,26 +338,26 @@
             return true;
         }
         if (m.rank() == 0) {
-            return !holdsMembers(m);
+            return !mayUseMembers(m);
         }
         Engine head = headOf(m, engines.values());
         if (head != null && !head.lost()) {
-            return !holdsMembers(head.record().group());
+            return !mayUseMembers(head.record().group());
         }
-        return head == null && ended.contains(m.name());
+        return head == null && endedGroups.contains(m.name());
     }
 
-    /** Members whose head cannot be asked leave it first: it may be alive, and it then breaks. */
-    private void leaveSilentHeads(Map<InstanceId, Engine> engines) {
-        Set<InstanceId> taken = new HashSet<>();
-        groups.values().forEach(g -> taken.addAll(g.members()));
+    /** Orders members of a lost head to leave before they join elsewhere: the head may be alive, and its group then breaks. */
+    private void leaveLostHeads(Map<InstanceId, Engine> engines) {
+        Set<InstanceId> assigned = new HashSet<>();
+        groups.values().forEach(g -> assigned.addAll(g.members()));
         for (Engine e : engines.values()) {
             GroupMark m = e.record().group();
-            if (m == null || m.rank() == 0 || !e.isUsable() || taken.contains(e.id())) {
+            if (m == null || m.rank() == 0 || !e.isUsable() || assigned.contains(e.id())) {
                 continue;
             }
             Engine head = headOf(m, engines.values());
-            if ((head == null && !ended.contains(m.name())) || (head != null && head.lost())) {
+            if ((head == null && !endedGroups.contains(m.name())) || (head != null && head.lost())) {
                 TargetOrder leave = new TargetOrder.Leave(m.name(), m.epoch());
                 actions.add(new GroupAction(e, leave, "its head is lost"));
             }
@@ -375,7 +375,7 @@
     }
 
     /**
-     * Gives the packing that groups are formed by.
+     * Returns the packing by which groups are formed.
      *
      * @return the packing of the last step
      */
@@ -385,7 +385,7 @@
 
     private void joinNewGroups(long now, Map<InstanceId, Engine> engines) {
         for (PlannedGroup g : groups.values()) {
-            if (g.since() == now && !g.hasServed()) {
+            if (g.createdAt() == now && !g.hasServed()) {
                 joinAll(g, engines);
             }
         }
@@ -395,13 +395,13 @@
         TargetOrder join = new TargetOrder.Join(g.name(), g.epoch(), g.model(), g.members());
         for (InstanceId id : g.members()) {
             Engine e = engines.get(id);
-            if (!e.isIn(g.name(), g.epoch())) {
+            if (!e.isMemberOf(g.name(), g.epoch())) {
                 actions.add(new GroupAction(e, join, "forms a group"));
             }
         }
     }
 
     private long nextEpoch() {
-        return term * EPOCHS_A_TERM + ++counter;
+        return term * EPOCHS_PER_TERM + ++epochCounter;
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/group/GroupProbes.java
+++ b/serving/src/main/java/org/hallwall/serving/group/GroupProbes.java
@@ -38,134 +38,137 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Asks all members of a group whether they answer; questions that come close together share one round of probes.
+ * Probes all members of a group; requests within a short interval share one round of probes.
  *
- * <p>Members that do not answer are held for dead only if somebody in the round answered quickly: a controller that has just
- * started, or is slow or cut off itself, would otherwise hold sound engines for dead. A round that cannot be judged is repeated
- * with witnesses, engines outside the group: all members may be dead.
+ * <p>Members that do not answer are considered dead only if another engine in the round answered quickly. Otherwise a controller
+ * that has just started, is slow or is partitioned itself would declare healthy engines dead. An inconclusive round is repeated
+ * with witnesses, engines outside the group, since all members may be dead.
  */
 final class GroupProbes {
 
     private static final Logger LOG = Logger.getLogger(GroupProbes.class);
-    /** How long an engine may take to answer a probe; several times a round trip and the time of its answer. */
+    /** The timeout of a probe: several round trips and response times. */
     private static final Duration TIMEOUT = Duration.ofMillis(250);
-    /** An answer within this time shows that this controller is fast enough to judge, in milliseconds. */
-    private static final long QUICK_MILLIS = 100;
-    /** Questions within this time share a round, in milliseconds; shorter than any silence after which entries ask. */
-    private static final long SHARED_MILLIS = 50;
-    /** Rounds that run at once; more would only slow the controller down when many heads stand still. */
-    private static final int MOST_ROUNDS = 6;
-    /** Rounds for one question: a second one if the first could not be judged. */
-    private static final int ATTEMPTS = 2;
-
-    /** Engines outside the group that are asked too; one of them may be dead itself, and then nobody could be judged. */
-    private static final int WITNESSES = 2;
+    /** An answer within this time shows that this controller is neither slow nor partitioned, in milliseconds. */
+    private static final long FAST_ANSWER_MILLIS = 100;
+    /** Requests within this time share a round, in milliseconds; shorter than any stall after which entries send a request. */
+    private static final long SHARED_ROUND_MILLIS = 50;
+    /** The maximum number of concurrent rounds, which limits the controller's load when many heads stall. */
+    private static final int MAX_CONCURRENT_ROUNDS = 6;
+    /** The maximum number of rounds for one request: a second one if the first is inconclusive. */
+    private static final int MAX_ATTEMPTS = 2;
+
+    /** The number of engines outside the group that are probed too; more than one, since a witness may be dead itself. */
+    private static final int WITNESS_COUNT = 2;
 
     private final TargetGateway gateway;
     private final TargetDirectory directory;
-    private final Consumer<InstanceId> noAnswer;
+    private final Consumer<InstanceId> unresponsiveListener;
     private final Ticker ticker;
     private final Map<String, Round> rounds = new HashMap<>();
 
     /**
-     * Creates the probes; {@link #ask} is called by one thread only.
+     * Creates the probes; {@link #probe} is called by one thread only.
      *
-     * @param gateway speaks to targets
-     * @param directory the targets that are known
-     * @param noAnswer told which targets are held for dead, on an I/O thread
+     * @param gateway sends the probes
+     * @param directory the directory of targets
+     * @param unresponsiveListener receives the targets that are considered dead, on an I/O thread
      * @param ticker the clock
      */
-    GroupProbes(TargetGateway gateway, TargetDirectory directory, Consumer<InstanceId> noAnswer, Ticker ticker) {
+    GroupProbes(
+            TargetGateway gateway,
+            TargetDirectory directory,
+            Consumer<InstanceId> unresponsiveListener,
+            Ticker ticker) {
         this.gateway = gateway;
         this.directory = directory;
-        this.noAnswer = noAnswer;
+        this.unresponsiveListener = unresponsiveListener;
         this.ticker = ticker;
     }
 
     /**
-     * Asks the members of a group.
+     * Probes the members of a group.
      *
      * @param group the group's name
      * @param members its members
-     * @return what was found; never an error
+     * @return the liveness of the group; never an error
      */
-    Mono<GroupLiveness> ask(String group, List<InstanceId> members) {
+    Mono<GroupLiveness> probe(String group, List<InstanceId> members) {
         long now = ticker.millis();
-        rounds.values().removeIf(r -> r.ended && now - r.begunAt > SHARED_MILLIS);
+        rounds.values().removeIf(r -> r.completed && now - r.startedAt > SHARED_ROUND_MILLIS);
         Round last = rounds.get(group);
-        if (last != null && (!last.ended || now - last.begunAt <= SHARED_MILLIS)) {
+        if (last != null && (!last.completed || now - last.startedAt <= SHARED_ROUND_MILLIS)) {
             return last.result;
         }
-        if (rounds.values().stream().filter(r -> !r.ended).count() >= MOST_ROUNDS) {
-            LOG.infof("groups: too many probes run to ask the members of %s", group);
+        if (rounds.values().stream().filter(r -> !r.completed).count() >= MAX_CONCURRENT_ROUNDS) {
+            LOG.infof("groups: too many concurrent probes to probe the members of %s", group);
             return Mono.just(GroupLiveness.UNKNOWN);
         }
         Round round = new Round(now);
         rounds.put(group, round);
-        round.result = attempt(group, members, ATTEMPTS)
-                .doOnNext(found -> end(group, round, found))
+        round.result = attempt(group, members, MAX_ATTEMPTS)
+                .doOnNext(found -> completeRound(group, round, found))
                 .cache();
-        // the round is worth its cost even if the entries that asked do not wait for it
+        // subscribed here so that the round completes even if the requesting entries cancel
         round.result.subscribe();
         return round.result;
     }
 
-    private void end(String group, Round round, GroupLiveness found) {
-        round.ended = true;
-        LOG.infof(
-                "groups: the members of %s were asked, %s after %d ms", group, found, ticker.millis() - round.begunAt);
+    private void completeRound(String group, Round round, GroupLiveness found) {
+        round.completed = true;
+        LOG.infof("groups: probed the members of %s, %s after %d ms", group, found, ticker.millis() - round.startedAt);
     }
 
-    private Mono<GroupLiveness> attempt(String group, List<InstanceId> members, int left) {
-        long begunAt = ticker.millis();
-        List<InstanceId> asked = new ArrayList<>(members);
-        if (left < ATTEMPTS) {
-            asked.addAll(witnesses(members));
+    private Mono<GroupLiveness> attempt(String group, List<InstanceId> members, int remainingAttempts) {
+        long startedAt = ticker.millis();
+        List<InstanceId> probed = new ArrayList<>(members);
+        if (remainingAttempts < MAX_ATTEMPTS) {
+            probed.addAll(witnesses(members));
         }
-        return Flux.fromIterable(asked)
-                .flatMap(id -> askOne(id, begunAt))
+        return Flux.fromIterable(probed)
+                .flatMap(id -> probeOne(id, startedAt))
                 .collectList()
-                .map(answers -> judge(group, members, answers))
-                .flatMap(found -> found == GroupLiveness.UNKNOWN && left > 1
-                        ? attempt(group, members, left - 1)
+                .map(results -> evaluate(group, members, results))
+                .flatMap(found -> found == GroupLiveness.UNKNOWN && remainingAttempts > 1
+                        ? attempt(group, members, remainingAttempts - 1)
                         : Mono.just(found));
     }
 
-    private Mono<Answer> askOne(InstanceId id, long begunAt) {
+    private Mono<ProbeResult> probeOne(InstanceId id, long startedAt) {
         TargetRecord record = directory.find(id);
         if (record == null) {
-            return Mono.just(new Answer(id, false, 0));
+            return Mono.just(new ProbeResult(id, false, 0));
         }
         return gateway.answers(record, TIMEOUT)
-                .map(ok -> new Answer(id, ok, ticker.millis() - begunAt))
-                // one that backs off has answered lately, and says nothing of how quick this controller is
-                .defaultIfEmpty(new Answer(id, true, Long.MAX_VALUE));
+                .map(ok -> new ProbeResult(id, ok, ticker.millis() - startedAt))
+                // a target in backoff has answered recently, but does not show how fast this controller is
+                .defaultIfEmpty(new ProbeResult(id, true, Long.MAX_VALUE));
     }
 
-    private GroupLiveness judge(String group, List<InstanceId> members, List<Answer> answers) {
-        boolean quick = false;
-        List<InstanceId> silent = new ArrayList<>();
-        for (Answer a : answers) {
-            quick |= a.came() && a.afterMillis() <= QUICK_MILLIS;
-            if (!a.came() && members.contains(a.from())) {
-                silent.add(a.from());
+    private GroupLiveness evaluate(String group, List<InstanceId> members, List<ProbeResult> results) {
+        boolean anyFast = false;
+        List<InstanceId> unresponsive = new ArrayList<>();
+        for (ProbeResult r : results) {
+            anyFast |= r.answered() && r.elapsedMillis() <= FAST_ANSWER_MILLIS;
+            if (!r.answered() && members.contains(r.target())) {
+                unresponsive.add(r.target());
             }
         }
-        if (silent.isEmpty()) {
+        if (unresponsive.isEmpty()) {
             return GroupLiveness.WORKING;
         }
-        if (!quick) {
-            LOG.warnf("groups: nobody answered quickly, so %s of %s are not judged", silent, group);
+        if (!anyFast) {
+            LOG.warnf("groups: no fast answer, the state of %s of group %s is unknown", unresponsive, group);
             return GroupLiveness.UNKNOWN;
         }
-        for (InstanceId id : silent) {
-            LOG.warnf("groups: %s of group %s does not answer, it is held for dead", id, group);
-            noAnswer.accept(id);
+        for (InstanceId id : unresponsive) {
+            LOG.warnf("groups: %s of group %s does not answer, considering it dead", id, group);
+            unresponsiveListener.accept(id);
         }
         return GroupLiveness.LOST;
     }
 
-    /** Draws engines outside the group that take requests. */
+    /** Selects random serving engines outside the group. */
     private List<InstanceId> witnesses(List<InstanceId> members) {
         List<InstanceId> others = new ArrayList<>();
         for (KnownTarget t : directory.list()) {
@@ -175,21 +178,21 @@
             }
         }
         Collections.shuffle(others, ThreadLocalRandom.current());
-        return others.subList(0, Math.min(WITNESSES, others.size()));
+        return others.subList(0, Math.min(WITNESS_COUNT, others.size()));
     }
 
-    /** What a probe brought. */
-    private record Answer(InstanceId from, boolean came, long afterMillis) {}
+    /** The result of a probe. */
+    private record ProbeResult(InstanceId target, boolean answered, long elapsedMillis) {}
 
-    /** The rounds of probes of one group for one question; they end on an I/O thread. */
+    /** The probes of one group for one request; they complete on an I/O thread. */
     private static final class Round {
 
-        private final long begunAt;
+        private final long startedAt;
         private Mono<GroupLiveness> result;
-        private volatile boolean ended;
+        private volatile boolean completed;
 
-        Round(long begunAt) {
-            this.begunAt = begunAt;
+        Round(long startedAt) {
+            this.startedAt = startedAt;
         }
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/group/IdleTimes.java
+++ b/serving/src/main/java/org/hallwall/serving/group/IdleTracker.java
@@ -25,31 +25,31 @@
 
 import org.hallwall.core.id.InstanceId;
 
-/** Since when engines have been free. */
-final class IdleTimes {
+/** Tracks how long engines have been free. */
+final class IdleTracker {
 
-    private final Map<InstanceId, Long> since = new HashMap<>();
+    private final Map<InstanceId, Long> freeSince = new HashMap<>();
 
     /**
-     * Takes the engines that are free now; all others are forgotten.
+     * Sets the engines that are free now and removes all others.
      *
-     * @param now the clock in milliseconds
+     * @param now the current time in milliseconds
      * @param free the free engines by fabric domain
      */
-    void take(long now, Map<String, List<Engine>> free) {
-        Map<InstanceId, Long> still = new HashMap<>();
+    void update(long now, Map<String, List<Engine>> free) {
+        Map<InstanceId, Long> updated = new HashMap<>();
         for (List<Engine> list : free.values()) {
-            list.forEach(e -> still.put(e.id(), since.getOrDefault(e.id(), now)));
+            list.forEach(e -> updated.put(e.id(), freeSince.getOrDefault(e.id(), now)));
         }
-        since.clear();
-        since.putAll(still);
+        freeSince.clear();
+        freeSince.putAll(updated);
     }
 
-    /** Picks those of some engines that have been free for longer than a time. */
-    List<Engine> longerThan(long now, long millis, List<Engine> engines) {
+    /** Returns the given engines that have been free for longer than a time. */
+    List<Engine> idleLongerThan(long now, long millis, List<Engine> engines) {
         List<Engine> out = new ArrayList<>();
         for (Engine e : engines) {
-            if (now - since.getOrDefault(e.id(), now) > millis) {
+            if (now - freeSince.getOrDefault(e.id(), now) > millis) {
                 out.add(e);
             }
         }
--- a/serving/src/main/java/org/hallwall/serving/group/LoadPacer.java
+++ b/serving/src/main/java/org/hallwall/serving/group/LoadPacer.java
@@ -25,84 +25,84 @@
 
 import org.hallwall.core.id.InstanceId;
 
-/** Keeps loads from the weight store below its rate and its number of full-speed loads. */
+/** Limits the start rate and the concurrency of loads from the weight store. */
 public final class LoadPacer {
 
-    /** The window over which the store's rate is kept, in milliseconds; as long as the shortest window it is judged by. */
+    /** The sliding window of the rate limit, in milliseconds; the shortest one over which the store's rate must be met. */
     private static final long WINDOW_MILLIS = 5_000;
-    /** After this long a load that was never seen to end no longer counts as running, in milliseconds. */
-    private static final long LOST_MILLIS = 40_000;
-    /** The part of the rate that is used; the rest is for loads that another controller has begun. */
-    private static final double SHARE = 0.9;
+    /** The time after which a load without a reported end no longer counts as running, in milliseconds. */
+    private static final long LOAD_TIMEOUT_MILLIS = 40_000;
+    /** The fraction of the rate that is used; the rest is reserved for loads started by another controller. */
+    private static final double RATE_FRACTION = 0.9;
 
     /**
-     * The part of the rate that is used for one window after this controller took over from another, which may have used
-     * {@link #SHARE} of it in the same window: together no more than a tenth above the rate.
+     * The fraction of the rate that is used in the window after a takeover. The previous controller may have used {@link #RATE_FRACTION}
+     * in the same window, so together they exceed the rate by a tenth at most.
      */
-    private static final double SHARE_AFTER_ANOTHER = 0.2;
+    private static final double RATE_FRACTION_AFTER_TAKEOVER = 0.2;
 
-    /** How many loads of spares run at once at most: they go on for a dozen seconds, and slow down those that groups wait for. */
-    private static final int MOST_SPARES = 2;
+    /** The maximum number of concurrent loads of spares, which slow down loads that complete a group. */
+    private static final int MAX_SPARE_LOADS = 2;
 
-    private final Deque<Long> begun = new ArrayDeque<>();
+    private final Deque<Long> startTimes = new ArrayDeque<>();
     private final Map<InstanceId, Load> running = new HashMap<>();
-    private long tookOverAt = Long.MIN_VALUE / 2;
+    private long takeoverAt = Long.MIN_VALUE / 2;
 
     /**
-     * Notes that another controller may have begun loads up to now.
+     * Records a takeover from another controller, which may have started loads until now.
      *
-     * @param now the clock in milliseconds
+     * @param now the current time in milliseconds
      */
-    public void takeOver(long now) {
-        tookOverAt = now;
+    public void recordTakeover(long now) {
+        takeoverAt = now;
     }
 
     /**
-     * Takes a place for a load if there is one.
+     * Starts a load if rate and concurrency allow it.
      *
      * @param target the target that will load
      * @param model the model
      * @param loadsPerSecond the store's rate
-     * @param atOnce how many loads run at full speed
-     * @param now the clock in milliseconds
-     * @return true if the load may begin
+     * @param maxConcurrent the number of loads that run at full speed
+     * @param now the current time in milliseconds
+     * @return true if the load may start
      */
-    public boolean tryBegin(InstanceId target, String model, double loadsPerSecond, int atOnce, long now) {
-        while (!begun.isEmpty() && now - begun.peekFirst() > WINDOW_MILLIS) {
-            begun.removeFirst();
+    public boolean tryBegin(InstanceId target, String model, double loadsPerSecond, int maxConcurrent, long now) {
+        while (!startTimes.isEmpty() && now - startTimes.peekFirst() > WINDOW_MILLIS) {
+            startTimes.removeFirst();
         }
-        running.values().removeIf(l -> now - l.begunAt() > LOST_MILLIS);
-        double share = now - tookOverAt <= WINDOW_MILLIS ? SHARE_AFTER_ANOTHER : SHARE;
-        double most = loadsPerSecond * share * WINDOW_MILLIS / 1_000;
-        if (running.size() - spares() >= atOnce || begun.size() + 1 > most) {
+        running.values().removeIf(l -> now - l.startedAt() > LOAD_TIMEOUT_MILLIS);
+        double share = now - takeoverAt <= WINDOW_MILLIS ? RATE_FRACTION_AFTER_TAKEOVER : RATE_FRACTION;
+        double maxStarts = loadsPerSecond * share * WINDOW_MILLIS / 1_000;
+        if (running.size() - spareLoadCount() >= maxConcurrent || startTimes.size() + 1 > maxStarts) {
             return false;
         }
-        begun.addLast(now);
+        startTimes.addLast(now);
         running.put(target, new Load(model, now, false));
         return true;
     }
 
     /**
-     * Takes a place for the load of a spare, for which no group waits. It leaves half of the store's rate to others, and never
-     * keeps a place from one that a group waits for.
+     * Starts the load of a spare, which completes no group. It uses at most half of the store's rate, and does not count towards
+     * the concurrency limit of loads that complete a group.
      *
      * @param target the target that will load
      * @param model the model
      * @param loadsPerSecond the store's rate
-     * @param atOnce how many loads run at full speed
-     * @param now the clock in milliseconds
-     * @return true if the load may begin
+     * @param maxConcurrent the number of loads that run at full speed
+     * @param now the current time in milliseconds
+     * @return true if the load may start
      */
-    public boolean tryBeginSpare(InstanceId target, String model, double loadsPerSecond, int atOnce, long now) {
-        boolean room = running.size() < atOnce && spares() < MOST_SPARES;
-        if (!room || !tryBegin(target, model, loadsPerSecond / 2, atOnce, now)) {
+    public boolean tryBeginSpare(InstanceId target, String model, double loadsPerSecond, int maxConcurrent, long now) {
+        boolean hasCapacity = running.size() < maxConcurrent && spareLoadCount() < MAX_SPARE_LOADS;
+        if (!hasCapacity || !tryBegin(target, model, loadsPerSecond / 2, maxConcurrent, now)) {
             return false;
         }
         running.put(target, new Load(model, now, true));
         return true;
     }
 
-    private int spares() {
+    private int spareLoadCount() {
         int out = 0;
         for (Load l : running.values()) {
             out += l.spare() ? 1 : 0;
@@ -111,7 +111,7 @@
     }
 
     /**
-     * Notes that a target's load has ended, or that the target is lost.
+     * Releases the load of a target that has completed or failed, or whose target is lost.
      *
      * @param target the target
      */
@@ -120,16 +120,16 @@
     }
 
     /**
-     * Lists the loads that run.
+     * Returns the running loads.
      *
      * @return the models by target
      */
-    public Map<InstanceId, String> loading() {
+    public Map<InstanceId, String> runningLoads() {
         Map<InstanceId, String> out = new HashMap<>();
         running.forEach((id, l) -> out.put(id, l.model()));
         return out;
     }
 
-    /** A load that runs. */
-    private record Load(String model, long begunAt, boolean spare) {}
+    /** A running load. */
+    private record Load(String model, long startedAt, boolean spare) {}
 }
--- a/serving/src/main/java/org/hallwall/serving/group/ModelDemand.java
+++ b/serving/src/main/java/org/hallwall/serving/group/ModelDemand.java
@@ -25,45 +25,45 @@
 import org.hallwall.serving.config.EngineSpec;
 
 /**
- * How many groups each model should have for what is asked of it, and what a number of groups is worth.
+ * The number of groups that each model needs for its demand, and the utility of a number of groups.
  *
- * <p>Worth is counted in engines that are of use: the first groups of a model serve most of its streams, later ones make first
- * events earlier and outlive losses. So the worth of a further group falls with each one that a model has, and never to zero.
+ * <p>Utility is measured in useful engines. The first groups of a model serve most of its streams; further ones reduce the time to
+ * the first event and tolerate losses. The marginal utility falls with each group of a model but never reaches zero.
  */
 final class ModelDemand {
 
-    /** The part of a group's slots in progress up to which first events come in time: prompts are read beside the others. */
-    private static final double USE = 0.6;
-    /** How fast the worth of further groups falls: with as many groups as wanted, 0.78 of a model's worth is reached. */
-    private static final double FALL = 1.5;
-    /** Below this many streams what is asked for is not yet known. */
-    private static final double FEW_STREAMS = 12;
-    /** The weight of what operators declare beside what is asked for: callers may turn to the other model at once. */
+    /** The slot utilization up to which first events are in time, since prompts are processed along with running streams. */
+    private static final double TARGET_UTILIZATION = 0.6;
+    /** The rate at which marginal utility falls; the desired number of groups yields 0.78 of a model's maximum utility. */
+    private static final double UTILITY_DECAY = 1.5;
+    /** The minimum number of streams for an estimate of demand. */
+    private static final double MIN_STREAMS = 12;
+    /** The weight of the declared shares against measured demand, since callers may switch models at any time. */
     private static final double DECLARED_WEIGHT = 0.25;
 
     private final EngineSpec spec;
-    private final Map<String, Double> wanted = new HashMap<>();
+    private final Map<String, Double> desiredGroups = new HashMap<>();
 
     /**
-     * Weighs what is asked for.
+     * Estimates the demand.
      *
-     * @param spec what is known of the service's engines
-     * @param streams the streams that want a slot, by model
-     * @param engines how many engines there are
+     * @param spec the parameters of the service's engines
+     * @param streams the streams in progress or refused, by model
+     * @param engines the number of engines
      */
     ModelDemand(EngineSpec spec, Map<String, Double> streams, int engines) {
         this.spec = spec;
-        double shares = 0;
-        double asked = 0;
+        double totalShares = 0;
+        double totalStreams = 0;
         for (EngineModel m : spec.models()) {
-            shares += m.share();
-            asked += streams.getOrDefault(m.name(), 0.0);
+            totalShares += m.share();
+            totalStreams += streams.getOrDefault(m.name(), 0.0);
         }
         for (EngineModel m : spec.models()) {
-            double declared = m.share() / shares * engines / m.size();
-            double measured = streams.getOrDefault(m.name(), 0.0) / (spec.slots() * USE);
-            double mixed = DECLARED_WEIGHT * declared + (1 - DECLARED_WEIGHT) * measured;
-            wanted.put(m.name(), Math.max(Double.MIN_NORMAL, asked < FEW_STREAMS ? declared : mixed));
+            double declared = m.share() / totalShares * engines / m.size();
+            double measured = streams.getOrDefault(m.name(), 0.0) / (spec.slots() * TARGET_UTILIZATION);
+            double weighted = DECLARED_WEIGHT * declared + (1 - DECLARED_WEIGHT) * measured;
+            desiredGroups.put(m.name(), Math.max(Double.MIN_NORMAL, totalStreams < MIN_STREAMS ? declared : weighted));
         }
     }
 
@@ -71,26 +71,26 @@
         return spec;
     }
 
-    /** Gives how many groups a model should have. */
-    double groups(EngineModel m) {
-        return wanted.get(m.name());
+    /** Returns the number of groups that a model should have. */
+    double desiredGroupCount(EngineModel m) {
+        return desiredGroups.get(m.name());
     }
 
     /**
-     * Gives the worth of a number of groups for a part of the demand.
+     * Returns the utility of a number of groups for a fraction of the demand.
      *
      * @param m the model
-     * @param count how many groups serve that part
-     * @param part the part of the model's demand
-     * @return the worth, in engines
+     * @param count the number of groups that serve the fraction
+     * @param fraction the fraction of the model's demand
+     * @return the utility, in engines
      */
-    double worth(EngineModel m, double count, double part) {
-        double w = groups(m) * part;
-        return m.size() * w * (1 - Math.exp(-FALL * count / w));
+    double utility(EngineModel m, double count, double fraction) {
+        double desired = desiredGroupCount(m) * fraction;
+        return m.size() * desired * (1 - Math.exp(-UTILITY_DECAY * count / desired));
     }
 
-    /** Gives the worth of one more group, in engines, when a model has a number of them. */
-    double nextWorth(EngineModel m, double count) {
-        return worth(m, count + 1, 1) - worth(m, count, 1);
+    /** Returns the utility of one more group, in engines, when a model has a number of groups. */
+    double marginalUtility(EngineModel m, double count) {
+        return utility(m, count + 1, 1) - utility(m, count, 1);
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/group/OrderOutcome.java
+++ b/serving/src/main/java/org/hallwall/serving/group/OrderOutcome.java
@@ -18,18 +18,18 @@
  */
 package org.hallwall.serving.group;
 
-/** What a target answered to an order. */
+/** The outcome of an order. */
 public enum OrderOutcome {
-    /** It has begun or is done. */
+    /** The target has started or completed the order. */
     TAKEN,
-    /** It conflicts with the target's state. */
+    /** The order conflicts with the target's state. */
     CONFLICT,
-    /** A higher fencing token or epoch was seen there. */
+    /** The target has seen a higher fencing token or epoch. */
     FENCED,
-    /** Another target answers at the address. */
+    /** Another target answered at the address. */
     OTHER_TARGET,
-    /** It is refused for another reason. */
+    /** The order was refused for another reason, or was not sent because the target is not available. */
     REFUSED,
-    /** No answer came; it may be carried out, even later. */
+    /** No answer was received; the order may still be executed later. */
     UNKNOWN
 }
--- a/serving/src/main/java/org/hallwall/serving/group/Packing.java
+++ b/serving/src/main/java/org/hallwall/serving/group/Packing.java
@@ -24,38 +24,38 @@
 import org.hallwall.serving.config.EngineSpec;
 
 /**
- * How many groups of each model every fabric domain should hold.
+ * The number of groups of each model that every fabric domain should have.
  *
- * @param demand what the numbers were decided by
- * @param domains the engines that they were decided for, by fabric domain
- * @param counts the groups by fabric domain and model
+ * @param demand the demand that the packing was computed for
+ * @param domains the capacity that the packing was computed for, by fabric domain
+ * @param counts the number of groups by fabric domain and model
  */
 public record Packing(
-        ModelDemand demand, Map<String, DomainEngines> domains, Map<String, Map<String, Integer>> counts) {
+        ModelDemand demand, Map<String, DomainCapacity> domains, Map<String, Map<String, Integer>> counts) {
 
-    /** Nothing is known yet. */
+    /** The packing before the first computation. */
     static final Packing NONE = new Packing(null, Map.of(), Map.of());
 
-    /** Gives how many groups of a model a domain should hold. */
-    int groups(String domain, String model) {
+    /** Returns the number of groups of a model that a domain should have. */
+    int groupCount(String domain, String model) {
         return counts.getOrDefault(domain, Map.of()).getOrDefault(model, 0);
     }
 
-    /** Gives how many groups of a model a domain lacks; negative if it has more than it should. */
-    int lacking(String domain, String model) {
-        DomainEngines d = domains.get(domain);
-        return d == null ? 0 : groups(domain, model) - d.groupsOf(model);
+    /** Returns the number of groups of a model that a domain lacks; negative if it has a surplus. */
+    int deficit(String domain, String model) {
+        DomainCapacity d = domains.get(domain);
+        return d == null ? 0 : groupCount(domain, model) - d.groupCount(model);
     }
 
-    /** Gives how many engines of a domain should stay free. */
-    int spares(EngineSpec spec, String domain) {
-        DomainEngines d = domains.get(domain);
+    /** Returns the number of engines of a domain that should stay free as spares. */
+    int spareCount(EngineSpec spec, String domain) {
+        DomainCapacity d = domains.get(domain);
         if (d == null) {
             return 0;
         }
         int out = d.engines();
         for (EngineModel m : spec.models()) {
-            out -= groups(domain, m.name()) * m.size();
+            out -= groupCount(domain, m.name()) * m.size();
         }
         return out;
     }
--- a/serving/src/main/java/org/hallwall/serving/group/PackingSearch.java
+++ b/serving/src/main/java/org/hallwall/serving/group/PackingSearch.java
@@ -28,183 +28,186 @@
 import org.hallwall.serving.config.EngineModel;
 
 /**
- * Searches how many groups of each model every fabric domain should hold, over all domains together.
+ * Local search for the number of groups of each model that every fabric domain should have.
  *
- * <p>From the groups that there are it changes one domain after the other to the packing that is worth most beside the others,
- * until none gets better. A packing is worth what its groups add for callers of the whole fleet and of its failure domain, which
- * may be cut off and then serves alone, less what is expected to be lost: groups that lose a member and find no spare, loads, and
- * groups taken apart.
+ * <p>Starting from the existing groups, it replaces the packing of one domain after the other by the one of highest utility given
+ * the other domains, until no domain improves. The utility of a packing is that of its groups for the whole fleet and for their
+ * failure domain alone, which may become partitioned, minus the expected cost of losses without a spare, of loads, and of
+ * dissolved groups.
  */
 final class PackingSearch {
 
-    /** The weight of callers who can only be served in their failure domain, against those served by the whole fleet. */
-    private static final double ALONE_WEIGHT = 0.15;
-    /** The part of engines lost within the time in which a new one comes and loads; it sets the number of spares. */
-    private static final double LOST_PART = 0.2;
-    /** A group without a spare is missing for half of that time in the mean; the one of least worth gives its engines to others. */
-    private static final double MISSING_PART = 0.5;
-    /** What the load of one engine costs, in parts of its worth over the same time, in which it may serve on in a group. */
-    private static final double LOAD_PART = 0.25;
-    /** What taking a group apart costs, in parts of its worth over the same time: it is missing for a while, and often has a model to load again. */
-    private static final double CHANGE_PART = 0.4;
-    /** The least gain for which a domain's packing changes, in engines; keeps equal packings from alternating. */
-    private static final double LEAST_GAIN = 0.02;
-    /** More packings of a domain than this are not weighed; then only those near the present one are. */
-    private static final int MOST_PACKINGS = 400;
-    /** How far from the present packing those are, in groups of each model. */
-    private static final int NEAR = 2;
-    /** How often all domains are gone through at most. */
-    private static final int ROUNDS = 6;
+    /** The weight of demand that can only be served in its failure domain, against demand served by the whole fleet. */
+    private static final double PARTITION_WEIGHT = 0.15;
+    /** The fraction of engines lost within the time to replace one; it determines the number of spares. */
+    private static final double LOSS_FRACTION = 0.2;
+    /** The mean fraction of that time for which a group without a spare is down; the group of least utility provides engines. */
+    private static final double DOWNTIME_FRACTION = 0.5;
+    /** The cost of a load as a fraction of the engine's utility over the same time; the engine may serve in a group meanwhile. */
+    private static final double LOAD_COST_FRACTION = 0.25;
+    /** The cost of dissolving a group as a fraction of its utility over the same time: downtime, and often another load. */
+    private static final double DISSOLUTION_COST_FRACTION = 0.4;
+    /** The minimum gain for which a domain's packing changes, in engines; prevents oscillation between equal packings. */
+    private static final double MIN_GAIN = 0.02;
+    /** The maximum number of packings of a domain that are evaluated; beyond it only neighbors of the current one are. */
+    private static final int MAX_PACKINGS = 400;
+    /** The maximum distance of a neighbor from the current packing, in groups of each model. */
+    private static final int NEIGHBOR_DISTANCE = 2;
+    /** The maximum number of passes over all domains. */
+    private static final int MAX_ROUNDS = 6;
 
     private final ModelDemand demand;
     private final List<EngineModel> models;
-    private final List<DomainEngines> domains;
-    private final Map<String, double[]> byFailureDomain = new HashMap<>();
+    private final List<DomainCapacity> domains;
+    private final Map<String, double[]> groupsByFailureDomain = new HashMap<>();
     private final Map<String, int[]> chosen = new LinkedHashMap<>();
-    private final double[] fleet;
-    private final boolean spares;
+    private final double[] fleetGroups;
+    private final boolean keepSpares;
 
-    private PackingSearch(ModelDemand demand, List<DomainEngines> domains, boolean spares) {
-        this.spares = spares;
+    private PackingSearch(ModelDemand demand, List<DomainCapacity> domains, boolean keepSpares) {
+        this.keepSpares = keepSpares;
         this.demand = demand;
         this.models = demand.spec().models();
         this.domains = domains;
-        this.fleet = new double[models.size()];
-        for (DomainEngines d : domains) {
-            byFailureDomain.putIfAbsent(d.failureDomain(), new double[models.size()]);
+        this.fleetGroups = new double[models.size()];
+        for (DomainCapacity d : domains) {
+            groupsByFailureDomain.putIfAbsent(d.failureDomain(), new double[models.size()]);
             int[] start = new int[models.size()];
-            int left = d.engines();
+            int available = d.engines();
             for (int m = 0; m < start.length; m++) {
                 int size = models.get(m).size();
-                start[m] = Math.min(d.groupsOf(models.get(m).name()), left / size);
-                left -= start[m] * size;
+                start[m] = Math.min(d.groupCount(models.get(m).name()), available / size);
+                available -= start[m] * size;
             }
             chosen.put(d.name(), start);
-            add(d, start, 1);
+            adjustGroups(d, start, 1);
         }
     }
 
     /**
-     * Decides on a packing.
+     * Searches for a packing.
      *
-     * @param demand what is asked of the models
-     * @param domains the engines by fabric domain
-     * @param spares whether losses are weighed
-     * @return how many groups every domain should hold
+     * @param demand the demand for each model
+     * @param domains the capacity of each fabric domain
+     * @param keepSpares whether expected losses reduce the utility of a packing, so that it keeps spares
+     * @return the number of groups that every domain should have
      */
-    static Packing decide(ModelDemand demand, List<DomainEngines> domains, boolean spares) {
-        return new PackingSearch(demand, domains, spares).search();
+    static Packing findPacking(ModelDemand demand, List<DomainCapacity> domains, boolean keepSpares) {
+        return new PackingSearch(demand, domains, keepSpares).search();
     }
 
     private Packing search() {
-        boolean better = true;
-        for (int round = 0; round < ROUNDS && better; round++) {
-            better = false;
-            for (DomainEngines d : domains) {
-                better |= improve(d);
+        boolean improved = true;
+        for (int round = 0; round < MAX_ROUNDS && improved; round++) {
+            improved = false;
+            for (DomainCapacity d : domains) {
+                improved |= improve(d);
             }
         }
-        Map<String, DomainEngines> byName = new HashMap<>();
+        Map<String, DomainCapacity> byName = new HashMap<>();
         Map<String, Map<String, Integer>> counts = new HashMap<>();
-        for (DomainEngines d : domains) {
+        for (DomainCapacity d : domains) {
             byName.put(d.name(), d);
-            Map<String, Integer> of = new HashMap<>();
+            Map<String, Integer> byModel = new HashMap<>();
             for (int m = 0; m < models.size(); m++) {
-                of.put(models.get(m).name(), chosen.get(d.name())[m]);
+                byModel.put(models.get(m).name(), chosen.get(d.name())[m]);
             }
-            counts.put(d.name(), of);
+            counts.put(d.name(), byModel);
         }
         return new Packing(demand, byName, counts);
     }
 
-    private boolean improve(DomainEngines d) {
-        int[] before = chosen.get(d.name());
-        add(d, before, -1);
-        int[] best = before;
-        double most = worth(d, before) + LEAST_GAIN;
-        for (int[] p : packings(d, before)) {
-            double worth = worth(d, p);
-            if (worth > most) {
-                most = worth;
+    private boolean improve(DomainCapacity d) {
+        int[] current = chosen.get(d.name());
+        adjustGroups(d, current, -1);
+        int[] best = current;
+        double bestUtility = utility(d, current) + MIN_GAIN;
+        for (int[] p : candidatePackings(d, current)) {
+            double utility = utility(d, p);
+            if (utility > bestUtility) {
+                bestUtility = utility;
                 best = p;
             }
         }
-        add(d, best, 1);
+        adjustGroups(d, best, 1);
         chosen.put(d.name(), best);
-        return !Arrays.equals(best, before);
+        return !Arrays.equals(best, current);
     }
 
-    private void add(DomainEngines d, int[] counts, int sign) {
-        double[] near = byFailureDomain.get(d.failureDomain());
+    private void adjustGroups(DomainCapacity d, int[] counts, int sign) {
+        double[] local = groupsByFailureDomain.get(d.failureDomain());
         for (int m = 0; m < counts.length; m++) {
-            fleet[m] += sign * counts[m];
-            near[m] += sign * counts[m];
+            fleetGroups[m] += sign * counts[m];
+            local[m] += sign * counts[m];
         }
     }
 
-    // --- the worth of a packing beside those of the other domains
+    // --- utility
 
-    private double worth(DomainEngines d, int[] counts) {
-        double[] near = byFailureDomain.get(d.failureDomain());
-        double part = 1.0 / byFailureDomain.size();
+    private double utility(DomainCapacity d, int[] counts) {
+        double[] local = groupsByFailureDomain.get(d.failureDomain());
+        double localFraction = 1.0 / groupsByFailureDomain.size();
         double out = 0;
         double inGroups = 0;
-        double cheapest = Double.MAX_VALUE;
+        double minGroupUtility = Double.MAX_VALUE;
         for (int m = 0; m < counts.length; m++) {
             EngineModel model = models.get(m);
-            double all = fleet[m] + counts[m];
-            out += (1 - ALONE_WEIGHT) * demand.worth(model, all, 1);
-            out += ALONE_WEIGHT * demand.worth(model, near[m] + counts[m], part);
-            double group = demand.nextWorth(model, Math.max(0, all - 1));
+            double total = fleetGroups[m] + counts[m];
+            out += (1 - PARTITION_WEIGHT) * demand.utility(model, total, 1);
+            out += PARTITION_WEIGHT * demand.utility(model, local[m] + counts[m], localFraction);
+            double groupUtility = demand.marginalUtility(model, Math.max(0, total - 1));
             int engines = counts[m] * model.size();
-            cheapest = counts[m] > 0 ? Math.min(cheapest, group) : cheapest;
-            out -= LOAD_PART * group / model.size() * Math.max(0, engines - d.ableFor(model.name()));
-            out -= CHANGE_PART * group * Math.max(0, d.groupsOf(model.name()) - counts[m]);
+            minGroupUtility = counts[m] > 0 ? Math.min(minGroupUtility, groupUtility) : minGroupUtility;
+            out -= LOAD_COST_FRACTION
+                    * groupUtility
+                    / model.size()
+                    * Math.max(0, engines - d.joinableCount(model.name()));
+            out -= DISSOLUTION_COST_FRACTION * groupUtility * Math.max(0, d.groupCount(model.name()) - counts[m]);
             inGroups += engines;
         }
-        if (inGroups == 0 || !spares) {
+        if (inGroups == 0 || !keepSpares) {
             return out;
         }
-        double without = lossesBeyond(inGroups * LOST_PART, d.engines() - inGroups);
-        return out - MISSING_PART * without * cheapest;
+        double uncovered = expectedUncoveredLosses(inGroups * LOSS_FRACTION, d.engines() - inGroups);
+        return out - DOWNTIME_FRACTION * uncovered * minGroupUtility;
     }
 
-    /** The expected number of losses that no spare is left for, when losses are independent of each other. */
-    private static double lossesBeyond(double mean, double spares) {
+    /** Returns the expected number of losses in excess of the spares, with the losses Poisson distributed. */
+    private static double expectedUncoveredLosses(double mean, double spareCount) {
         double probability = Math.exp(-mean);
         double covered = 0;
-        double beyond = 1;
-        for (int n = 0; n <= spares; n++) {
+        double tail = 1;
+        for (int n = 0; n <= spareCount; n++) {
             covered += probability * n;
-            beyond -= probability;
+            tail -= probability;
             probability *= mean / (n + 1);
         }
-        return Math.max(0, mean - covered - spares * beyond);
+        return Math.max(0, mean - covered - spareCount * tail);
     }
 
-    // --- the packings that a domain has room for
+    // --- enumeration of the packings that fit a domain
 
-    private List<int[]> packings(DomainEngines d, int[] present) {
-        long all = 1;
+    private List<int[]> candidatePackings(DomainCapacity d, int[] current) {
+        long combinations = 1;
         for (EngineModel m : models) {
-            all *= d.engines() / m.size() + 1;
+            combinations *= d.engines() / m.size() + 1;
         }
         List<int[]> out = new ArrayList<>();
-        collect(out, new int[models.size()], 0, d.engines(), all <= MOST_PACKINGS ? null : present);
+        enumeratePackings(out, new int[models.size()], 0, d.engines(), combinations <= MAX_PACKINGS ? null : current);
         return out;
     }
 
-    private void collect(List<int[]> out, int[] counts, int model, int left, int[] near) {
+    private void enumeratePackings(List<int[]> out, int[] counts, int model, int available, int[] center) {
         if (model == counts.length) {
             out.add(counts.clone());
             return;
         }
         int size = models.get(model).size();
-        int from = near == null ? 0 : Math.max(0, near[model] - NEAR);
-        int to = near == null ? left / size : Math.min(left / size, near[model] + NEAR);
+        int from = center == null ? 0 : Math.max(0, center[model] - NEIGHBOR_DISTANCE);
+        int to = center == null ? available / size : Math.min(available / size, center[model] + NEIGHBOR_DISTANCE);
         for (int n = from; n <= to; n++) {
             counts[model] = n;
-            collect(out, counts, model + 1, left - n * size, near);
+            enumeratePackings(out, counts, model + 1, available - n * size, center);
         }
         counts[model] = 0;
     }
--- a/serving/src/main/java/org/hallwall/serving/group/PlannedGroup.java
+++ b/serving/src/main/java/org/hallwall/serving/group/PlannedGroup.java
@@ -22,7 +22,7 @@
 
 import org.hallwall.core.id.InstanceId;
 
-/** A group that the controller has decided on. */
+/** A group of the plan, with its lifecycle state. */
 final class PlannedGroup {
 
     private final String name;
@@ -30,7 +30,7 @@
     private final String model;
     private final String fabricDomain;
     private final List<InstanceId> members;
-    private final long since;
+    private final long createdAt;
     private boolean closing;
     private boolean retiring;
     private boolean served;
@@ -41,7 +41,7 @@
         this.model = model;
         this.fabricDomain = fabricDomain;
         this.members = List.copyOf(members);
-        this.since = since;
+        this.createdAt = since;
     }
 
     String name() {
@@ -68,29 +68,29 @@
         return members.get(0);
     }
 
-    long since() {
-        return since;
+    long createdAt() {
+        return createdAt;
     }
 
     boolean isClosing() {
         return closing;
     }
 
-    void close() {
+    void markClosing() {
         closing = true;
     }
 
-    /** Whether its members are wanted for a better group. */
+    /** Returns whether its members are needed for a better group. */
     boolean isRetiring() {
         return retiring;
     }
 
-    /** Whether it takes no new work, or soon will not. */
+    /** Returns whether it is closing or about to close. */
     boolean isEnding() {
         return closing || retiring;
     }
 
-    void retire() {
+    void markRetiring() {
         retiring = true;
     }
 
@@ -98,7 +98,7 @@
         return served;
     }
 
-    void serves() {
+    void markServed() {
         served = true;
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/group/SpareWarmUp.java
+++ b/serving/src/main/java/org/hallwall/serving/group/SpareWarmUp.java
@@ -32,8 +32,8 @@
 import org.hallwall.serving.target.GroupState;
 
 /**
- * Lets spares without a model load their host's into the engine beforehand, by a group of which nobody else is told and that is
- * never opened: an engine joins its next group of that model in a fraction of the time.
+ * Warms up spares without a model in memory. A spare joins a provisional group that no other member joins and that never opens;
+ * this loads the model from its host into the engine, which then joins its next group of that model faster.
  */
 final class SpareWarmUp {
 
@@ -44,7 +44,7 @@
         this.nextEpoch = nextEpoch;
     }
 
-    /** Gives the orders that the spares of one fabric domain should have. */
+    /** Returns the warm-up orders for the spares of one fabric domain. */
     List<GroupAction> step(EngineSpec spec, List<Engine> spares, Collection<Engine> engines) {
         List<GroupAction> out = new ArrayList<>();
         for (Engine e : spares) {
@@ -56,14 +56,14 @@
             if (members.size() == model.size()) {
                 long epoch = epochs.computeIfAbsent(e.id(), id -> nextEpoch.getAsLong());
                 TargetOrder join = new TargetOrder.Join("w" + epoch, epoch, model.name(), members);
-                out.add(new GroupAction(e, join, "a spare gets its model ready"));
+                out.add(new GroupAction(e, join, "warms up a spare"));
             }
         }
         return out;
     }
 
-    /** Notes that an engine was given to a group; its next group of one needs a higher epoch. */
-    void joined(InstanceId engine) {
+    /** Records that an engine was assigned to a group; its next warm-up needs a higher epoch. */
+    void recordAssigned(InstanceId engine) {
         epochs.remove(engine);
     }
 
@@ -71,8 +71,8 @@
         List<InstanceId> out = new ArrayList<>();
         out.add(e.id());
         for (Engine other : engines) {
-            boolean near = e.record().fabricDomain().equals(other.record().fabricDomain());
-            if (near && !other.id().equals(e.id()) && out.size() < model.size()) {
+            boolean sameDomain = e.record().fabricDomain().equals(other.record().fabricDomain());
+            if (sameDomain && !other.id().equals(e.id()) && out.size() < model.size()) {
                 out.add(other.id());
             }
         }
--- a/serving/src/main/java/org/hallwall/serving/group/StageOrder.java
+++ b/serving/src/main/java/org/hallwall/serving/group/StageOrder.java
@@ -19,33 +19,35 @@
 package org.hallwall.serving.group;
 
 /**
- * A host that should load a model.
+ * An order to stage a model on the host of an engine.
  *
  * @param target the engine
  * @param model the model
- * @param missing how many engines its set lacks before a group can form; {@link #SPARE} for a spare
+ * @param missingEngines the number of engines that are missing before a group can form; {@link #SPARE} for a spare
  */
-public record StageOrder(Engine target, String model, int missing) {
+public record StageOrder(Engine target, String model, int missingEngines) {
 
-    /** Stands for a load that completes no group yet. */
+    /** The value of {@code missing} for a load that completes no group. */
     public static final int SPARE = Integer.MAX_VALUE;
 
     /**
-     * Says whether the load only makes a spare.
+     * Returns whether the load is for a spare.
      *
-     * @return true if no group waits for it
+     * @return true if it completes no group
      */
     public boolean isSpare() {
-        return missing == SPARE;
+        return missingEngines == SPARE;
     }
 
     /**
-     * Gives the order.
+     * Returns the order with its reason.
      *
      * @return the order for the engine
      */
-    public GroupAction action() {
+    public GroupAction toAction() {
         return new GroupAction(
-                target, new TargetOrder.Stage(model), isSpare() ? "a spare for its domain" : "a group waits for it");
+                target,
+                new TargetOrder.Stage(model),
+                isSpare() ? "loads a model for a spare" : "loads a model for a group");
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/group/StagingPlan.java
+++ b/serving/src/main/java/org/hallwall/serving/group/StagingPlan.java
@@ -36,21 +36,21 @@
 import org.hallwall.serving.target.GroupMark;
 
 /**
- * Decides which model each host holds, so that the groups that a domain lacks can form, and its engines can turn to another
- * model without the store.
+ * Decides which models are staged on each host, so that missing groups can form and engines can switch models without a load
+ * from the weight store.
  *
- * <p>An engine can join a group of the model of its last group at once, and of the model that its host holds in a second or two. So
- * once an engine has its model, its host loads another one: it can then serve either.
+ * <p>An engine can join a group of its last model immediately, and of the model staged on its host within a few seconds. Once an
+ * engine has a model in memory, a second one is staged on its host, so that it can serve either.
  */
 public final class StagingPlan {
 
-    /** After this time free engines are not about to form a group by a repair within their domain, in milliseconds. */
-    private static final long REPAIR_MILLIS = 1_500;
+    /** The time after which free engines are idle rather than part of a repair within their domain, in milliseconds. */
+    private static final long MIN_IDLE_MILLIS = 1_500;
 
     private final Map<InstanceId, String> assigned = new HashMap<>();
-    private final Map<InstanceId, Integer> missingAt = new HashMap<>();
-    private final Set<InstanceId> begun = new HashSet<>();
-    private final IdleTimes idleTimes = new IdleTimes();
+    private final Map<InstanceId, Integer> missingByEngine = new HashMap<>();
+    private final Set<InstanceId> startedLoads = new HashSet<>();
+    private final IdleTracker idleTimes = new IdleTracker();
     private final Mechanisms mechanisms;
     private EngineSpec spec;
     private Packing packing = Packing.NONE;
@@ -58,41 +58,41 @@
     /**
      * Creates a plan without loads.
      *
-     * @param mechanisms those in use
+     * @param mechanisms the enabled mechanisms
      */
     public StagingPlan(Mechanisms mechanisms) {
         this.mechanisms = mechanisms;
     }
 
     /**
-     * Takes one step.
+     * Updates the plan and returns the loads that it requires.
      *
-     * @param now the clock in milliseconds
-     * @param known what is known of the service's engines
-     * @param wanted how many groups every fabric domain should hold
+     * @param now the current time in milliseconds
+     * @param currentSpec the parameters of the service's engines
+     * @param currentPacking the number of groups that every fabric domain should have
      * @param free the free engines by fabric domain
      * @param engines all engines of the service
-     * @return the engines whose hosts should load a model, the most useful first
+     * @return the required loads, in order of priority
      */
     public List<StageOrder> step(
             long now,
-            EngineSpec known,
-            Packing wanted,
+            EngineSpec currentSpec,
+            Packing currentPacking,
             Map<String, List<Engine>> free,
             Map<InstanceId, Engine> engines) {
-        spec = known;
-        packing = wanted;
-        forget(engines);
-        idleTimes.take(now, free);
+        spec = currentSpec;
+        packing = currentPacking;
+        pruneAssignments(engines);
+        idleTimes.update(now, free);
         for (Map.Entry<String, List<Engine>> domain : free.entrySet()) {
-            assign(domain.getKey(), domain.getValue());
-            List<Engine> idle = idleTimes.longerThan(now, REPAIR_MILLIS, domain.getValue());
-            turnIdle(domain.getKey(), idle);
+            assignBlankEngines(domain.getKey(), domain.getValue());
+            List<Engine> idle = idleTimes.idleLongerThan(now, MIN_IDLE_MILLIS, domain.getValue());
+            reassignIdle(domain.getKey(), idle);
         }
         for (String domain : packing.domains().keySet()) {
-            List<Engine> idle = idleTimes.longerThan(now, REPAIR_MILLIS, free.getOrDefault(domain, List.of()));
+            List<Engine> idle = idleTimes.idleLongerThan(now, MIN_IDLE_MILLIS, free.getOrDefault(domain, List.of()));
             if (mechanisms.has(Mechanism.TAKE_APART)) {
-                lend(domain, idle, engines);
+                stageOnSurplusMembers(domain, idle, engines);
             }
         }
         if (mechanisms.has(Mechanism.SECOND_MODEL)) {
@@ -106,154 +106,156 @@
         assigned.forEach((id, model) -> {
             Engine e = engines.get(id);
             if (!e.hasStaged(model)) {
-                out.add(new StageOrder(e, model, missingAt.getOrDefault(id, StageOrder.SPARE)));
+                out.add(new StageOrder(e, model, missingByEngine.getOrDefault(id, StageOrder.SPARE)));
             }
         });
-        out.sort(Comparator.comparingInt(StageOrder::missing)
+        out.sort(Comparator.comparingInt(StageOrder::missingEngines)
                 .thenComparing(o -> o.target().id()));
         return out;
     }
 
     /**
-     * Notes that a load has begun; until then an assignment is made anew at each step, as more engines become known.
+     * Records that a load has started. Assignments without a started load are recomputed at each step.
      *
      * @param target the target
      */
     public void begun(InstanceId target) {
-        begun.add(target);
+        startedLoads.add(target);
     }
 
-    /** Keeps the loads that have begun and have not ended. */
-    private void forget(Map<InstanceId, Engine> engines) {
+    /** Removes all assignments except those whose load has started and not completed. */
+    private void pruneAssignments(Map<InstanceId, Engine> engines) {
         assigned.entrySet().removeIf(a -> {
             Engine e = engines.get(a.getKey());
-            return e == null || !e.isUsable() || !begun.contains(a.getKey()) || e.hasStaged(a.getValue());
+            return e == null || !e.isUsable() || !startedLoads.contains(a.getKey()) || e.hasStaged(a.getValue());
         });
-        begun.retainAll(assigned.keySet());
-        missingAt.keySet().retainAll(begun);
+        startedLoads.retainAll(assigned.keySet());
+        missingByEngine.keySet().retainAll(startedLoads);
     }
 
-    /** Says whether an engine can join a group of a model, or will when its load has ended. */
-    private boolean willJoin(Engine e, EngineModel m) {
+    /** Returns whether an engine can join a group of a model, now or once its assigned load has completed. */
+    private boolean willBeAbleToJoin(Engine e, EngineModel m) {
         return e.canJoin(m.name()) || m.name().equals(assigned.get(e.id()));
     }
 
-    private int countWillJoin(Collection<Engine> engines, EngineModel m) {
-        return (int) engines.stream().filter(e -> willJoin(e, m)).count();
+    private int countJoinable(Collection<Engine> engines, EngineModel m) {
+        return (int) engines.stream().filter(e -> willBeAbleToJoin(e, m)).count();
     }
 
-    private void give(Engine e, EngineModel model, int missing) {
+    private void assignModel(Engine e, EngineModel model, int missing) {
         assigned.put(e.id(), model.name());
-        missingAt.put(e.id(), missing);
+        missingByEngine.put(e.id(), missing);
     }
 
-    // --- engines that have no model yet
+    // --- engines without a model
 
-    /** First sets that can be completed, those worth most for their loads first; what is left becomes spares. */
-    private void assign(String domain, List<Engine> free) {
-        List<Engine> left = new ArrayList<>();
+    /** Assigns engines to groups that can be completed, in order of utility per load; remaining engines become spares. */
+    private void assignBlankEngines(String domain, List<Engine> free) {
+        List<Engine> unassigned = new ArrayList<>();
         for (Engine e : free) {
             boolean blank = e.record().staged().isEmpty() && e.lastModel() == null;
             if (blank && !assigned.containsKey(e.id())) {
-                left.add(e);
+                unassigned.add(e);
             }
         }
-        Map<EngineModel, Integer> sets = new HashMap<>();
-        EngineModel next = nextSet(domain, free, left.size(), sets);
+        Map<EngineModel, Integer> plannedGroups = new HashMap<>();
+        EngineModel next = nextGroupModel(domain, free, unassigned.size(), plannedGroups);
         while (next != null) {
-            int missing = missing(free, next, sets);
+            int missing = missingEngines(free, next, plannedGroups);
             for (int i = 0; i < missing; i++) {
-                give(left.remove(0), next, missing);
+                assignModel(unassigned.remove(0), next, missing);
             }
-            sets.merge(next, 1, Integer::sum);
-            next = nextSet(domain, free, left.size(), sets);
+            plannedGroups.merge(next, 1, Integer::sum);
+            next = nextGroupModel(domain, free, unassigned.size(), plannedGroups);
         }
-        while (!left.isEmpty()) {
-            give(left.remove(0), spareModel(domain, free), StageOrder.SPARE);
+        while (!unassigned.isEmpty()) {
+            assignModel(unassigned.remove(0), spareModel(domain, free), StageOrder.SPARE);
         }
     }
 
-    /** Counts the engines that the next set of a model lacks besides those that are planned already. */
-    private int missing(List<Engine> free, EngineModel m, Map<EngineModel, Integer> sets) {
-        int sized = m.size() * (sets.getOrDefault(m, 0) + 1);
-        return Math.max(0, sized - countWillJoin(free, m));
+    /** Returns the number of engines that the next group of a model lacks, in addition to the groups planned in this step. */
+    private int missingEngines(List<Engine> free, EngineModel m, Map<EngineModel, Integer> plannedGroups) {
+        int needed = m.size() * (plannedGroups.getOrDefault(m, 0) + 1);
+        return Math.max(0, needed - countJoinable(free, m));
     }
 
-    private EngineModel nextSet(String domain, List<Engine> free, int left, Map<EngineModel, Integer> sets) {
+    private EngineModel nextGroupModel(
+            String domain, List<Engine> free, int available, Map<EngineModel, Integer> plannedGroups) {
         EngineModel best = null;
-        double most = 0;
+        double bestUtility = 0;
         for (EngineModel m : spec.models()) {
-            int planned = sets.getOrDefault(m, 0);
-            int missing = missing(free, m, sets);
-            if (packing.lacking(domain, m.name()) <= planned || missing > left) {
+            int planned = plannedGroups.getOrDefault(m, 0);
+            int missing = missingEngines(free, m, plannedGroups);
+            if (packing.deficit(domain, m.name()) <= planned || missing > available) {
                 continue;
             }
-            double worth = worthOfNext(domain, m, planned) / Math.max(1, missing);
-            if (worth > most) {
-                most = worth;
+            double utility = marginalUtility(domain, m, planned) / Math.max(1, missing);
+            if (utility > bestUtility) {
+                bestUtility = utility;
                 best = m;
             }
         }
         return best;
     }
 
-    private double worthOfNext(String domain, EngineModel m, int planned) {
-        int present = packing.groups(domain, m.name()) - packing.lacking(domain, m.name());
+    private double marginalUtility(String domain, EngineModel m, int planned) {
+        int present = packing.groupCount(domain, m.name()) - packing.deficit(domain, m.name());
         return packing.demand()
-                .nextWorth(m, (present + planned) * (double) packing.domains().size());
+                .marginalUtility(
+                        m, (present + planned) * (double) packing.domains().size());
     }
 
-    /** A spare is for the model of which most is lost without it, or goes on with a set that is begun. */
+    /** Returns the model whose spare covers the highest expected loss, or continues a partially loaded group. */
     private EngineModel spareModel(String domain, List<Engine> free) {
         EngineModel best = spec.models().get(0);
-        double most = -1;
+        double bestUtility = -1;
         for (EngineModel m : spec.models()) {
-            int spares = countWillJoin(free, m) % m.size();
-            boolean begins = spares > 1;
-            int groups = packing.groups(domain, m.name()) + (begins ? 1 : 0);
-            // any of its engines may be lost, and stops a whole group
-            double atRisk = groups * m.size() * worthOfNext(domain, m, 0) * m.size();
-            double worth = begins ? atRisk * spares : atRisk / (1 + spares);
-            if (worth > most) {
-                most = worth;
+            int spares = countJoinable(free, m) % m.size();
+            boolean partialGroup = spares > 1;
+            int groups = packing.groupCount(domain, m.name()) + (partialGroup ? 1 : 0);
+            // the loss of any member stops the whole group
+            double utilityAtRisk = groups * m.size() * marginalUtility(domain, m, 0) * m.size();
+            double utility = partialGroup ? utilityAtRisk * spares : utilityAtRisk / (1 + spares);
+            if (utility > bestUtility) {
+                bestUtility = utility;
                 best = m;
             }
         }
         return best;
     }
 
-    // --- engines that have another model than their domain lacks
+    // --- engines with a model other than the one their domain lacks
 
-    /** Engines that stand idle take up the model of a group that the domain lacks. */
-    private void turnIdle(String domain, List<Engine> idle) {
-        EngineModel m = mostLacking(domain);
+    /** Assigns the model of a missing group to idle engines. */
+    private void reassignIdle(String domain, List<Engine> idle) {
+        EngineModel m = mostNeededModel(domain);
         if (m == null) {
             return;
         }
-        int missing = m.size() - countWillJoin(idle, m);
+        int missing = m.size() - countJoinable(idle, m);
         if (missing <= 0 || idle.size() < m.size()) {
             return;
         }
-        giveTo(idle, m, missing);
+        assignToFirst(idle, m, missing);
     }
 
-    /** Gives a model to the first engines that have no load to do and cannot join it. */
-    private void giveTo(List<Engine> engines, EngineModel m, int missing) {
-        int left = missing;
+    /** Assigns a model to the first engines that have no assigned load and cannot join a group of the model. */
+    private void assignToFirst(List<Engine> engines, EngineModel m, int missing) {
+        int remaining = missing;
         for (Engine e : engines) {
-            if (left > 0 && !willJoin(e, m) && !assigned.containsKey(e.id())) {
-                give(e, m, missing);
-                left--;
+            if (remaining > 0 && !willBeAbleToJoin(e, m) && !assigned.containsKey(e.id())) {
+                assignModel(e, m, missing);
+                remaining--;
             }
         }
     }
 
-    private EngineModel mostLacking(String domain) {
+    private EngineModel mostNeededModel(String domain) {
         EngineModel best = null;
-        double most = 0;
+        double bestUtility = 0;
         for (EngineModel m : spec.models()) {
-            if (packing.lacking(domain, m.name()) > 0 && worthOfNext(domain, m, 0) > most) {
-                most = worthOfNext(domain, m, 0);
+            if (packing.deficit(domain, m.name()) > 0 && marginalUtility(domain, m, 0) > bestUtility) {
+                bestUtility = marginalUtility(domain, m, 0);
                 best = m;
             }
         }
@@ -261,73 +263,73 @@
     }
 
     /**
-     * Lets hosts of groups that the domain has too many of load the model of one that it lacks. They serve meanwhile; when the
-     * loads have ended, {@link GroupPlan} takes their groups apart.
+     * Stages the model of a missing group on hosts of surplus groups. Their members keep serving during the loads;
+     * {@link GroupPlan} retires the groups afterwards.
      */
-    private void lend(String domain, List<Engine> idle, Map<InstanceId, Engine> engines) {
-        EngineModel m = mostLacking(domain);
+    private void stageOnSurplusMembers(String domain, List<Engine> idle, Map<InstanceId, Engine> engines) {
+        EngineModel m = mostNeededModel(domain);
         if (m == null || idle.size() >= m.size()) {
             return;
         }
         List<Engine> members = surplusMembers(domain, engines.values());
-        int missing = m.size() - countWillJoin(idle, m) - countWillJoin(members, m);
-        long unable = members.stream()
-                .filter(e -> !willJoin(e, m) && !assigned.containsKey(e.id()))
+        int missing = m.size() - countJoinable(idle, m) - countJoinable(members, m);
+        long assignable = members.stream()
+                .filter(e -> !willBeAbleToJoin(e, m) && !assigned.containsKey(e.id()))
                 .count();
-        if (missing > 0 && missing <= unable) {
-            giveTo(members, m, missing);
+        if (missing > 0 && missing <= assignable) {
+            assignToFirst(members, m, missing);
         }
     }
 
-    /** Lists the members of as many groups of each model as the domain has too many of, in the order of their names. */
+    /** Returns the members of the surplus groups of each model in a domain, ordered by group name. */
     private List<Engine> surplusMembers(String domain, Collection<Engine> engines) {
         Map<String, List<Engine>> groups = new TreeMap<>();
         for (Engine e : engines) {
             GroupMark mark = e.record().group();
-            boolean serves = mark != null && mark.state().hasJoined() && e.isUsable();
-            if (serves && domain.equals(e.record().fabricDomain())) {
+            boolean joined = mark != null && mark.state().hasJoined() && e.isUsable();
+            if (joined && domain.equals(e.record().fabricDomain())) {
                 groups.computeIfAbsent(mark.name(), n -> new ArrayList<>()).add(e);
             }
         }
-        Map<String, Integer> taken = new HashMap<>();
+        Map<String, Integer> selectedByModel = new HashMap<>();
         List<Engine> out = new ArrayList<>();
         for (List<Engine> members : groups.values()) {
             members.sort(Comparator.comparing(Engine::id));
             EngineModel model =
                     spec.model(String.valueOf(members.get(0).record().model()));
-            boolean whole = model != null && members.size() == model.size();
-            int surplus = model == null ? 0 : -packing.lacking(domain, model.name());
-            if (whole && taken.getOrDefault(model.name(), 0) < surplus) {
-                taken.merge(model.name(), 1, Integer::sum);
+            boolean complete = model != null && members.size() == model.size();
+            int surplus = model == null ? 0 : -packing.deficit(domain, model.name());
+            if (complete && selectedByModel.getOrDefault(model.name(), 0) < surplus) {
+                selectedByModel.merge(model.name(), 1, Integer::sum);
                 out.addAll(members);
             }
         }
         return out;
     }
 
-    // --- a second model for each engine
+    // --- second models
 
-    /** An engine keeps the model of its last group, so its host may hold another one: that which is worth most beside it. */
+    /** Stages the model of highest marginal utility, other than the one in the engine's memory, on the engine's host. */
     private void addSecondModel(Engine e) {
-        String own = e.lastModel();
-        boolean onlyOwn = own != null && (e.record().staged().isEmpty() || e.hasStaged(own));
-        if (!onlyOwn
+        String loaded = e.lastModel();
+        boolean onlyLoaded = loaded != null && (e.record().staged().isEmpty() || e.hasStaged(loaded));
+        if (!onlyLoaded
                 || !e.isUsable()
                 || assigned.containsKey(e.id())
                 || e.record().fabricDomain() == null) {
             return;
         }
         EngineModel best = null;
-        double most = 0;
+        double bestUtility = 0;
         for (EngineModel m : spec.models()) {
-            double worth = worthOfNext(e.record().fabricDomain(), m, 0);
-            if (!m.name().equals(own) && worth > most) {
-                most = worth;
+            double utility = marginalUtility(e.record().fabricDomain(), m, 0);
+            if (!m.name().equals(loaded) && utility > bestUtility) {
+                bestUtility = utility;
                 best = m;
             }
         }
-        if (best != null && spec.model(own) != null) {
-            give(e, best, StageOrder.SPARE);
+        if (best != null && spec.model(loaded) != null) {
+            assignModel(e, best, StageOrder.SPARE);
         }
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/group/SmoothedStreams.java
+++ b/serving/src/main/java/org/hallwall/serving/group/StreamAverage.java
@@ -21,23 +21,23 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The streams that want a slot, as a running mean: a group taken apart for a passing wave would be missing after it. */
-final class SmoothedStreams {
+/** Exponential moving average of the demanded streams by model, so that short bursts do not cause groups to be dissolved. */
+final class StreamAverage {
 
-    /** The time over which the mean runs, in milliseconds: some lives of a stream, and less than the time of a load. */
-    private static final double MEAN_MILLIS = 4_000;
+    /** The time constant of the average, in milliseconds: several stream durations, and less than the duration of a load. */
+    private static final double TIME_CONSTANT_MILLIS = 4_000;
 
-    private final Map<String, Double> mean = new HashMap<>();
-    private long takenAt = Long.MIN_VALUE / 2;
+    private final Map<String, Double> averages = new HashMap<>();
+    private long updatedAt = Long.MIN_VALUE / 2;
 
-    void take(long now, Map<String, Integer> streams) {
-        double weight = 1 - Math.exp(-(now - takenAt) / MEAN_MILLIS);
-        takenAt = now;
-        streams.keySet().forEach(m -> mean.putIfAbsent(m, 0.0));
-        mean.replaceAll((m, old) -> old + weight * (streams.getOrDefault(m, 0) - old));
+    void update(long now, Map<String, Integer> streams) {
+        double weight = 1 - Math.exp(-(now - updatedAt) / TIME_CONSTANT_MILLIS);
+        updatedAt = now;
+        streams.keySet().forEach(m -> averages.putIfAbsent(m, 0.0));
+        averages.replaceAll((m, old) -> old + weight * (streams.getOrDefault(m, 0) - old));
     }
 
-    Map<String, Double> smoothed() {
-        return mean;
+    Map<String, Double> byModel() {
+        return averages;
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/group/TargetGateway.java
+++ b/serving/src/main/java/org/hallwall/serving/group/TargetGateway.java
@@ -23,26 +23,26 @@
 import org.hallwall.serving.target.TargetRecord;
 import reactor.core.publisher.Mono;
 
-/** Speaks to targets on behalf of the controller; an adapter knows their form. */
+/** Sends the controller's orders and probes to targets; implemented by an adapter for their protocol. */
 public interface TargetGateway {
 
     /**
-     * Gives an order, unless the target is not available.
+     * Sends an order, unless the target is not available.
      *
      * @param target the target
      * @param order the order
      * @param fencingToken the controller's fencing token
-     * @param timeout how long an answer is awaited
+     * @param timeout the response timeout
      * @return the outcome; never an error
      */
     Mono<OrderOutcome> order(TargetRecord target, TargetOrder order, long fencingToken, Duration timeout);
 
     /**
-     * Asks whether a target answers at all, unless it is not available.
+     * Probes a target, unless it is not available.
      *
      * @param target the target
-     * @param timeout how long an answer is awaited
-     * @return true if it answered; empty if it is not available and was not asked; never an error
+     * @param timeout the response timeout
+     * @return whether it answered; empty if it is not available and was not probed; never an error
      */
     Mono<Boolean> answers(TargetRecord target, Duration timeout);
 }
--- a/serving/src/main/java/org/hallwall/serving/group/TargetOrder.java
+++ b/serving/src/main/java/org/hallwall/serving/group/TargetOrder.java
@@ -26,7 +26,7 @@
 public sealed interface TargetOrder {
 
     /**
-     * Joins a group.
+     * Joins a group, loading its model if needed.
      *
      * @param group the group's name
      * @param epoch the group's epoch
@@ -36,7 +36,7 @@
     record Join(String group, long epoch, String model, List<InstanceId> members) implements TargetOrder {}
 
     /**
-     * Lets a ready head serve.
+     * Opens a ready head for requests.
      *
      * @param group the group's name
      * @param epoch the group's epoch
@@ -44,7 +44,7 @@
     record Open(String group, long epoch) implements TargetOrder {}
 
     /**
-     * Lets a head finish what it has and return to ready.
+     * Closes a head: it drains its work and returns to ready.
      *
      * @param group the group's name
      * @param epoch the group's epoch
@@ -52,7 +52,7 @@
     record Close(String group, long epoch) implements TargetOrder {}
 
     /**
-     * Leaves a group at once.
+     * Leaves a group immediately.
      *
      * @param group the group's name
      * @param epoch the group's epoch
@@ -60,7 +60,7 @@
     record Leave(String group, long epoch) implements TargetOrder {}
 
     /**
-     * Loads a model onto the host.
+     * Stages a model on the host.
      *
      * @param model the model
      */
--- a/serving/src/main/java/org/hallwall/serving/group/package-info.java
+++ b/serving/src/main/java/org/hallwall/serving/group/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** Groups with a head: planning, orders and repair. */
+/** Planning, formation and repair of engine groups, and the orders that implement the plan. */
 package org.hallwall.serving.group;
--- a/serving/src/test/java/org/hallwall/serving/group/EngineFixture.java
+++ b/serving/src/test/java/org/hallwall/serving/group/EngineFixture.java
@@ -25,7 +25,7 @@
 import org.hallwall.serving.target.GroupMark;
 import org.hallwall.serving.target.TargetRecord;
 
-/** Makes engines for the tests of the planners. */
+/** Creates engines for the tests of the planners. */
 final class EngineFixture {
 
     private static final int SLOTS = 18;
@@ -33,29 +33,29 @@
     private EngineFixture() {}
 
     /**
-     * Makes an engine that has announced itself once.
+     * Creates a serving engine.
      *
-     * @param id its name
+     * @param id its instance ID
      * @param domain its fabric domain
      * @param model the model in the engine, or null
-     * @param staged the model that its host holds, or null
-     * @param mark the group that it is in, or null
-     * @return the engine, which serves
+     * @param staged the model staged on its host, or null
+     * @param mark its group, or null
+     * @return the engine
      */
     static Engine engine(String id, String domain, String model, String staged, GroupMark mark) {
         return engine(id, domain, model, staged, mark, TargetRecord.Presence.SERVING, false);
     }
 
     /**
-     * Makes an engine that may leave or be lost.
+     * Creates an engine.
      *
-     * @param id its name
+     * @param id its instance ID
      * @param domain its fabric domain
      * @param model the model in the engine, or null
-     * @param staged the model that its host holds, or null
-     * @param mark the group that it is in, or null
-     * @param presence whether it serves, leaves or is gone
-     * @param lost whether it is held for dead
+     * @param staged the model staged on its host, or null
+     * @param mark its group, or null
+     * @param presence its announced presence
+     * @param lost whether it is considered dead
      * @return the engine
      */
     static Engine engine(
--- a/serving/src/test/java/org/hallwall/serving/group/GroupPlanTest.java
+++ b/serving/src/test/java/org/hallwall/serving/group/GroupPlanTest.java
@@ -37,7 +37,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Groups form from staged engines of one fabric domain, open when all are ready, and are taken apart safely. */
+/** Tests formation, opening, adoption and dissolution of groups. */
 class GroupPlanTest {
 
     private static final EngineSpec SPEC =
@@ -69,8 +69,8 @@
         return actions.stream().filter(a -> type.isInstance(a.order())).toList();
     }
 
-    /** Forms a group of engines 1 to 3 that is open. */
-    private PlannedGroup open() {
+    /** Forms an open group of engines 1 to 3. */
+    private PlannedGroup openGroup() {
         for (int n = 1; n <= 3; n++) {
             engine(n, null);
         }
@@ -119,15 +119,15 @@
     }
 
     @Test
-    void aLostMemberMakesTheHeadLeaveBeforeSurvivorsJoinElsewhere() {
-        PlannedGroup g = open();
+    void theHeadLeavesAfterAMemberIsLostBeforeSurvivorsJoinElsewhere() {
+        PlannedGroup g = openGroup();
         engine(9, null);
         int lost = memberNumber(g);
         engine(lost, new GroupMark(g.name(), g.epoch(), 1, GroupState.READY), TargetRecord.Presence.SERVING, true);
         List<GroupAction> actions = step();
         Assertions.assertEquals(1, of(actions, TargetOrder.Leave.class).size());
         for (GroupAction join : of(actions, TargetOrder.Join.class)) {
-            // only the spare may be told to get its model ready
+            // only the spare may receive a join order, for its warm-up
             Assertions.assertEquals(new InstanceId("i-9"), join.target().id());
         }
         engine(headNumber(g), null);
@@ -136,11 +136,11 @@
         Assertions.assertTrue(((TargetOrder.Join) joins.get(0).order()).epoch() > g.epoch());
     }
 
-    /** The head may be alive and open: however long it was silent, a member is joined elsewhere only after it has left. */
+    /** The head may be alive and open, so a member joins another group only after it has left, however long the head is silent. */
     @ParameterizedTest
     @ValueSource(longs = {0, 5_000, 60_000})
-    void survivorsOfASilentHeadLeaveItBeforeTheyJoinElsewhere(long later) {
-        PlannedGroup g = open();
+    void membersOfALostHeadLeaveBeforeTheyJoinElsewhere(long later) {
+        PlannedGroup g = openGroup();
         GroupMark mark = new GroupMark(g.name(), g.epoch(), 0, GroupState.OPEN);
         engine(headNumber(g), mark, TargetRecord.Presence.SERVING, true);
         engine(9, null);
@@ -157,10 +157,10 @@
         Assertions.assertEquals(3, of(step(), TargetOrder.Join.class).size());
     }
 
-    /** A head that was cut off from the controller may have served all the while: its group is the controller's again. */
+    /** A head that was partitioned from the controller may still serve, so its group is adopted again. */
     @Test
-    void aGroupWhoseHeadIsHeardAgainIsAdoptedAgain() {
-        PlannedGroup g = open();
+    void aGroupWhoseHeadRecoversIsAdoptedAgain() {
+        PlannedGroup g = openGroup();
         GroupMark mark = new GroupMark(g.name(), g.epoch(), 0, GroupState.OPEN);
         engine(headNumber(g), mark, TargetRecord.Presence.SERVING, true);
         step();
@@ -174,11 +174,11 @@
     }
 
     /**
-     * A head was told to open, was held for dead by mistake before it announced that it had, and its members left. It was then joined
-     * elsewhere while it was open. Until it has left, or announces that it no longer is in the group, it is not free.
+     * A head that was ordered to open and wrongly considered dead may be open without having announced it. It must not join another
+     * group before it has left or announces that it is not in the group.
      */
     @Test
-    void aHeadThatWasToldToOpenLeavesBeforeItJoinsElsewhere() {
+    void aHeadThatWasOrderedToOpenLeavesBeforeItJoinsElsewhere() {
         for (int n = 1; n <= 3; n++) {
             engine(n, null);
         }
@@ -201,10 +201,10 @@
         Assertions.assertEquals(3, of(step(), TargetOrder.Join.class).size());
     }
 
-    /** Its members may have left it meanwhile: then it must not go on counting on them. */
+    /** A recovered head whose members have left must not keep using them. */
     @Test
-    void aHeadThatIsHeardAgainWithoutItsMembersLeaves() {
-        PlannedGroup g = open();
+    void aHeadThatRecoversWithoutItsMembersLeaves() {
+        PlannedGroup g = openGroup();
         GroupMark mark = new GroupMark(g.name(), g.epoch(), 0, GroupState.OPEN);
         engine(headNumber(g), mark, TargetRecord.Presence.SERVING, true);
         step();
@@ -218,8 +218,8 @@
     @EnumSource(
             value = TargetRecord.Presence.class,
             names = {"LEAVING", "GONE"})
-    void aLeavingMemberIsWaitedFor(TargetRecord.Presence presence) {
-        PlannedGroup g = open();
+    void aGroupWithALeavingMemberIsClosedFirst(TargetRecord.Presence presence) {
+        PlannedGroup g = openGroup();
         engine(memberNumber(g), new GroupMark(g.name(), g.epoch(), 1, GroupState.READY), presence, false);
         Assertions.assertEquals(1, of(step(), TargetOrder.Close.class).size());
         engine(headNumber(g), new GroupMark(g.name(), g.epoch(), 0, GroupState.CLOSING));
@@ -230,9 +230,9 @@
         Assertions.assertEquals(2, freeCount());
     }
 
-    /** An order to open may be carried out late. */
+    /** An order to open may be executed late, so the members are released only after the head has left. */
     @Test
-    void aHeadThatWasToldToOpenLeavesBeforeItsMembersAreLetGo() {
+    void aHeadThatWasOrderedToOpenLeavesBeforeItsMembersAreReleased() {
         for (int n = 1; n <= 3; n++) {
             engine(n, null);
         }
@@ -254,7 +254,7 @@
 
     @Test
     void aNewControllerAdoptsCompleteGroupsAndDissolvesOthers() {
-        PlannedGroup g = open();
+        PlannedGroup g = openGroup();
         plan = new GroupPlan(2, Mechanisms.ALL);
         Assertions.assertTrue(step().isEmpty());
         Assertions.assertEquals(1, plan.groups().size());
@@ -266,8 +266,8 @@
     }
 
     @Test
-    void aSpareGetsItsModelReadyInAGroupThatIsNeverOpened() {
-        open();
+    void aSpareWarmsUpInAGroupThatIsNeverOpened() {
+        openGroup();
         engine(9, null);
         List<GroupAction> joins = of(step(), TargetOrder.Join.class);
         Assertions.assertEquals(1, joins.size());
@@ -280,10 +280,10 @@
 
     @Test
     void epochsRiseWithTheTerm() {
-        PlannedGroup g = open();
+        PlannedGroup g = openGroup();
         engines.clear();
         plan = new GroupPlan(2, Mechanisms.ALL);
-        PlannedGroup later = open();
+        PlannedGroup later = openGroup();
         Assertions.assertTrue(later.epoch() > g.epoch());
     }
 
@@ -299,11 +299,11 @@
         Assertions.assertEquals(18, all.stream().distinct().count());
     }
 
-    /** Idle engines of several domains serve together when too few groups are left, and only then. */
+    /** Cross-domain groups form only if too few groups are left, after a delay. */
     @ParameterizedTest
     @CsvSource({"0, 2000, 0", "1, 2000, 1", "1, 500, 0"})
-    void slowGroupsAreFormedWhenFewAreLeft(int lostGroups, long later, int formed) {
-        PlannedGroup g = open();
+    void crossDomainGroupsAreFormedWhenFewGroupsAreLeft(int lostGroups, long later, int formed) {
+        PlannedGroup g = openGroup();
         for (int n = 11; n <= 13; n++) {
             engine(n, "e" + n, null, TargetRecord.Presence.SERVING, false);
         }
@@ -318,11 +318,11 @@
         Assertions.assertEquals(formed, plan.groups().size() - before);
     }
 
-    /** A group over several domains is slower by a factor; it ends when one of them has engines enough for its own. */
+    /** A cross-domain group is retired when one of its domains has enough engines for a faster one. */
     @ParameterizedTest
     @CsvSource({"e1, 1", "e2, 0", "e3, 0"})
-    void aSlowGroupEndsWhenADomainCanFormItsOwn(String domain, int retired) {
-        PlannedGroup lost = open();
+    void aCrossDomainGroupIsRetiredWhenADomainCanFormItsOwn(String domain, int retired) {
+        PlannedGroup lost = openGroup();
         for (int n = 11; n <= 13; n++) {
             engine(n, n == 13 ? "e2" : "e1", null, TargetRecord.Presence.SERVING, false);
         }
--- a/serving/src/test/java/org/hallwall/serving/group/GroupProbesTest.java
+++ b/serving/src/test/java/org/hallwall/serving/group/GroupProbesTest.java
@@ -35,7 +35,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import reactor.core.publisher.Mono;
 
-/** All members of a group are asked, each once for questions that come together. */
+/** Tests which members are probed and when they are considered dead. */
 class GroupProbesTest {
 
     private static final List<InstanceId> MEMBERS =
@@ -45,12 +45,12 @@
 
     private final List<InstanceId> probed = new ArrayList<>();
     private final List<InstanceId> dead = new ArrayList<>();
-    private final List<InstanceId> backingOff = new ArrayList<>();
+    private final List<InstanceId> inBackoff = new ArrayList<>();
     private final List<InstanceId> reported = new ArrayList<>();
     private final TargetDirectory directory = new TargetDirectory(() -> now());
     private long now = 1_000;
-    private long delay;
-    private boolean silence;
+    private long responseMillis;
+    private boolean neverAnswers;
 
     private final TargetGateway gateway = new TargetGateway() {
         @Override
@@ -60,14 +60,14 @@
 
         @Override
         public Mono<Boolean> answers(TargetRecord target, Duration timeout) {
-            if (backingOff.contains(target.instance())) {
+            if (inBackoff.contains(target.instance())) {
                 return Mono.empty();
             }
             probed.add(target.instance());
-            return silence
+            return neverAnswers
                     ? Mono.never()
                     : Mono.fromSupplier(() -> {
-                        now += delay;
+                        now += responseMillis;
                         return !dead.contains(target.instance());
                     });
         }
@@ -106,82 +106,83 @@
     @CsvSource({"0, WORKING", "1, LOST", "3, LOST"})
     void allDeadMembersAreFound(int count, GroupLiveness found) {
         dead.addAll(MEMBERS.subList(0, count));
-        Assertions.assertEquals(found, probes.ask("g", MEMBERS).block());
+        Assertions.assertEquals(found, probes.probe("g", MEMBERS).block());
         Assertions.assertEquals(dead, reported);
         List<InstanceId> expected = new ArrayList<>(MEMBERS);
         if (count == MEMBERS.size()) {
-            // nobody answered, so all are asked again, and a witness with them
+            // an inconclusive round is repeated with a witness
             expected.addAll(MEMBERS);
             expected.add(WITNESS);
         }
         Assertions.assertEquals(expected, probed);
     }
 
-    /** One that rests is not asked, and its silence is no sign; the others are judged as ever. */
+    /** A member in backoff is not probed and not considered dead; the other members are evaluated as usual. */
     @ParameterizedTest
     @CsvSource({"1, 0, WORKING", "1, 1, LOST", "3, 0, WORKING"})
-    void whoRestsIsNotHeldForDead(int rest, int dying, GroupLiveness found) {
-        backingOff.addAll(MEMBERS.subList(0, rest));
-        dead.addAll(MEMBERS.subList(rest, rest + dying));
-        Assertions.assertEquals(found, probes.ask("g", MEMBERS).block());
+    void membersInBackoffAreNotConsideredDead(int backoffCount, int deadCount, GroupLiveness found) {
+        inBackoff.addAll(MEMBERS.subList(0, backoffCount));
+        dead.addAll(MEMBERS.subList(backoffCount, backoffCount + deadCount));
+        Assertions.assertEquals(found, probes.probe("g", MEMBERS).block());
         Assertions.assertEquals(dead, reported);
     }
 
-    /** With one witness, which may be dead too, the members were not judged in half of such rounds. */
+    /** A round with a single witness is inconclusive if the witness is dead too. */
     @RepeatedTest(20)
-    void aDeadWitnessDoesNotKeepTheMembersFromBeingJudged() {
+    void aDeadWitnessDoesNotMakeTheRoundInconclusive() {
         InstanceId second = new InstanceId("i-8");
         directory.take(record(second));
         dead.addAll(MEMBERS);
         dead.add(WITNESS);
-        Assertions.assertEquals(GroupLiveness.LOST, probes.ask("g", MEMBERS).block());
+        Assertions.assertEquals(GroupLiveness.LOST, probes.probe("g", MEMBERS).block());
         Assertions.assertEquals(MEMBERS, reported);
     }
 
-    /** A controller that has just started, or is cut off, cannot tell who is dead. */
+    /** Guards against a slow or partitioned controller that declares healthy engines dead. */
     @ParameterizedTest
     @CsvSource({
-        // time of each answer, silent members, whether the witness is silent, what is found
+        // response time, dead members, whether the witness is dead, expected liveness
         "0, 3, true, UNKNOWN",
         "0, 3, false, LOST",
         "0, 1, true, LOST",
         "150, 1, false, UNKNOWN",
         "150, 0, false, WORKING"
     })
-    void nobodyIsHeldForDeadUnlessSomebodyAnswersQuickly(long each, int silent, boolean witness, GroupLiveness found) {
-        delay = each;
-        dead.addAll(MEMBERS.subList(0, silent));
-        if (witness) {
+    void membersAreConsideredDeadOnlyIfAnotherEngineAnswersQuickly(
+            long answerMillis, int deadMembers, boolean deadWitness, GroupLiveness found) {
+        responseMillis = answerMillis;
+        dead.addAll(MEMBERS.subList(0, deadMembers));
+        if (deadWitness) {
             dead.add(WITNESS);
         }
-        Assertions.assertEquals(found, probes.ask("g", MEMBERS).block());
-        Assertions.assertEquals(found == GroupLiveness.LOST ? silent : 0, reported.size());
+        Assertions.assertEquals(found, probes.probe("g", MEMBERS).block());
+        Assertions.assertEquals(found == GroupLiveness.LOST ? deadMembers : 0, reported.size());
     }
 
-    /** Many heads stand still at once when the controller changes; it must not drown in probes. */
+    /** Guards against an overload of the controller when many heads stall at once. */
     @Test
-    void fewRoundsRunAtOnce() {
-        silence = true;
+    void theNumberOfConcurrentRoundsIsLimited() {
+        neverAnswers = true;
         for (int i = 0; i < 20; i++) {
-            probes.ask("g" + i, MEMBERS);
+            probes.probe("g" + i, MEMBERS);
         }
         Assertions.assertEquals(6 * 3, probed.size());
         Assertions.assertEquals(
-                GroupLiveness.UNKNOWN, probes.ask("g20", MEMBERS).block());
+                GroupLiveness.UNKNOWN, probes.probe("g20", MEMBERS).block());
     }
 
     @ParameterizedTest
     @CsvSource({"10, 3", "200, 6"})
-    void questionsThatComeTogetherShareARound(long after, int asked) {
-        probes.ask("g", MEMBERS).block();
+    void concurrentRequestsShareARound(long after, int expected) {
+        probes.probe("g", MEMBERS).block();
         now += after;
-        probes.ask("g", MEMBERS).block();
-        Assertions.assertEquals(asked, probed.size());
+        probes.probe("g", MEMBERS).block();
+        Assertions.assertEquals(expected, probed.size());
     }
 
     @Test
     void aMemberThatIsNoLongerKnownIsLost() {
         List<InstanceId> members = List.of(MEMBERS.get(0), new InstanceId("i-gone"));
-        Assertions.assertEquals(GroupLiveness.LOST, probes.ask("g", members).block());
+        Assertions.assertEquals(GroupLiveness.LOST, probes.probe("g", members).block());
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/group/LoadPacerTest.java
+++ b/serving/src/test/java/org/hallwall/serving/group/LoadPacerTest.java
@@ -27,16 +27,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Loads stay below the store's rate in every window and below the number that run at full speed. */
+/** Tests the limits on the rate and the concurrency of loads. */
 class LoadPacerTest {
 
     private static final long WINDOW = 5_000;
 
     @ParameterizedTest
     @CsvSource({"4.5, 6, 1000", "4.5, 100, 10", "1, 3, 500", "0.5, 100, 100"})
-    void keepsTheRateInEveryWindow(double rate, int atOnce, long loadMillis) {
+    void theRateIsKeptInEveryWindow(double rate, int maxConcurrent, long loadMillis) {
         LoadPacer pacer = new LoadPacer();
-        List<Long> begun = new ArrayList<>();
+        List<Long> starts = new ArrayList<>();
         List<InstanceId> running = new ArrayList<>();
         List<Long> ends = new ArrayList<>();
         for (long now = 0; now < 60_000; now += 50) {
@@ -45,43 +45,43 @@
                 pacer.ended(running.remove(0));
             }
             InstanceId id = new InstanceId("i-" + now);
-            if (pacer.tryBegin(id, "m", rate, atOnce, now)) {
-                begun.add(now);
+            if (pacer.tryBegin(id, "m", rate, maxConcurrent, now)) {
+                starts.add(now);
                 running.add(id);
                 ends.add(now + loadMillis);
             }
-            Assertions.assertTrue(pacer.loading().size() <= atOnce);
+            Assertions.assertTrue(pacer.runningLoads().size() <= maxConcurrent);
         }
-        for (long from : begun) {
-            long within =
-                    begun.stream().filter(t -> t >= from && t <= from + WINDOW).count();
-            Assertions.assertTrue(within <= rate * WINDOW / 1_000, within + " loads");
+        for (long from : starts) {
+            long inWindow =
+                    starts.stream().filter(t -> t >= from && t <= from + WINDOW).count();
+            Assertions.assertTrue(inWindow <= rate * WINDOW / 1_000, inWindow + " loads");
         }
-        Assertions.assertFalse(begun.isEmpty());
+        Assertions.assertFalse(starts.isEmpty());
     }
 
-    /** A controller that takes over doesn't know what the one before has begun; both together stay within the store's rate. */
+    /** After a takeover the loads of both controllers together stay within the store's rate. */
     @ParameterizedTest
     @ValueSource(doubles = {0.5, 4.5, 20})
-    void aControllerThatTakesOverLeavesRoomForLoadsItDoesNotKnow(double rate) {
-        LoadPacer before = new LoadPacer();
-        LoadPacer after = new LoadPacer();
-        List<Long> begun = new ArrayList<>();
+    void theRateIsKeptAcrossATakeover(double rate) {
+        LoadPacer previous = new LoadPacer();
+        LoadPacer successor = new LoadPacer();
+        List<Long> starts = new ArrayList<>();
         for (long now = 0; now < 20_000; now += 50) {
             if (now == 10_000) {
-                after.takeOver(now);
+                successor.recordTakeover(now);
             }
-            LoadPacer pacer = now < 10_000 ? before : after;
-            while (pacer.tryBegin(new InstanceId("e" + begun.size()), "m", rate, 1_000, now)) {
-                begun.add(now);
+            LoadPacer pacer = now < 10_000 ? previous : successor;
+            while (pacer.tryBegin(new InstanceId("e" + starts.size()), "m", rate, 1_000, now)) {
+                starts.add(now);
             }
         }
-        for (long from : begun) {
+        for (long from : starts) {
             long inWindow =
-                    begun.stream().filter(b -> b >= from && b <= from + 5_000).count();
+                    starts.stream().filter(s -> s >= from && s <= from + 5_000).count();
             Assertions.assertTrue(inWindow <= rate * 5 * 1.1 + 3, inWindow + " loads in 5 s from " + from);
         }
-        long late = begun.stream().filter(b -> b > 15_000).count();
-        Assertions.assertTrue(late >= Math.floor(rate * 5 * 0.8), "the whole rate is used once one window has passed");
+        long late = starts.stream().filter(s -> s > 15_000).count();
+        Assertions.assertTrue(late >= Math.floor(rate * 5 * 0.8), "the full rate is used after one window");
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/group/StagingPlanTest.java
+++ b/serving/src/test/java/org/hallwall/serving/group/StagingPlanTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Hosts load what their fabric domain needs, and spares stand ready. */
+/** Tests which models are staged on which hosts, for missing groups and for spares. */
 class StagingPlanTest {
 
     private static final EngineSpec SPEC = new EngineSpec(
@@ -53,7 +53,7 @@
         free.computeIfAbsent(domain, d -> new ArrayList<>()).add(e);
     }
 
-    /** Takes a step of a plan by the packing that a group plan decides for the same engines. */
+    /** Runs a step of a plan with the packing of a group plan for the same engines. */
     private List<StageOrder> step(StagingPlan plan, long now, EngineSpec spec, Map<String, Integer> streams) {
         GroupPlan groups = new GroupPlan(1, Mechanisms.ALL);
         groups.step(now, spec, streams, engines);
@@ -80,9 +80,9 @@
         Assertions.assertTrue(counts.get("small") / 3 >= 5, counts.toString());
     }
 
-    /** Engines announce themselves one after the other; those that have not begun are planned anew with the others. */
+    /** Engines without a started load are planned again together with engines that are announced later. */
     @Test
-    void enginesThatComeOneByOneArePlannedTogether() {
+    void enginesAnnouncedOneByOneArePlannedTogether() {
         StagingPlan plan = new StagingPlan(Mechanisms.ALL);
         List<StageOrder> actions = List.of();
         for (int n = 0; n < 9; n++) {
@@ -97,7 +97,7 @@
 
     @ParameterizedTest
     @CsvSource({"100, 0", "6100, 1"})
-    void idleEnginesOfDifferentModelsJoinForces(long later, int loads) {
+    void idleEnginesOfDifferentModelsFormAGroup(long later, int loads) {
         engine("d0", 1, "big");
         engine("d0", 2, "small");
         engine("d0", 3, "small");
@@ -107,10 +107,10 @@
         Assertions.assertEquals(loads, counts(actions).getOrDefault("small", 0));
     }
 
-    /** A new engine completes the set that lacks one, before it becomes a spare of the other model. */
+    /** A new engine completes a group before it becomes a spare of the other model. */
     @ParameterizedTest
     @CsvSource({"big, 3", "small, 2"})
-    void aNewEngineCompletesWhatLacksOne(String model, int idle) {
+    void aNewEngineCompletesAGroup(String model, int idle) {
         for (int n = 0; n < idle; n++) {
             engine("d0", n, model);
         }
@@ -118,15 +118,12 @@
         StageOrder order =
                 step(new StagingPlan(Mechanisms.ALL), 0, SPEC, Map.of()).get(0);
         Assertions.assertEquals(model, order.model());
-        Assertions.assertEquals(1, order.missing());
+        Assertions.assertEquals(1, order.missingEngines());
     }
 
-    /**
-     * One lost engine of sixteen stops all of them, so all spares of a domain are for the large group although small ones are many:
-     * one large group, four small ones, five spares.
-     */
+    /** All five spares are for the one large group, not the four small ones, since the loss of one member stops sixteen engines. */
     @Test
-    void aSpareIsForTheModelOfWhichMostWouldBeLost() {
+    void sparesCoverTheModelWithTheHighestExpectedLoss() {
         EngineSpec spec = new EngineSpec(
                 21,
                 List.of(new EngineModel("big", 16, 0.5, 1, 16, 1.6), new EngineModel("small", 4, 0.5, 0.6, 12, 1.1)),
@@ -141,9 +138,9 @@
         Assertions.assertEquals(Map.of("big", 21, "small", 16), counts);
     }
 
-    /** A set that lacks two engines takes the only new one, although its model has no group in the domain. */
+    /** A spare continues a partially loaded group, even if its model has no group in the domain. */
     @Test
-    void aSpareGoesOnWithASetThatIsBegun() {
+    void aSpareContinuesAPartiallyLoadedGroup() {
         for (int n = 0; n < 2; n++) {
             engine("d0", n, "big");
         }
@@ -154,7 +151,7 @@
     }
 
     @Test
-    void loadsThatAGroupWaitsForComeFirst() {
+    void loadsThatCompleteAGroupComeFirst() {
         for (int n = 0; n < 2; n++) {
             engine("d0", n, null);
         }
@@ -167,16 +164,16 @@
         Assertions.assertTrue(orders.get(1).isSpare());
     }
 
-    /** The model with more streams in progress for its groups gets the new engines. */
+    /** New engines are assigned to the model with the higher demand. */
     @ParameterizedTest
     @CsvSource({"60, 20, big", "20, 60, small"})
-    void whatIsAskedForGetsTheNewEngines(int big, int small, String expected) {
+    void newEnginesServeTheModelWithTheHigherDemand(int bigStreams, int smallStreams, String expected) {
         for (int n = 0; n < 5; n++) {
             engine("d0", n, null);
         }
-        Map<String, Integer> streams = Map.of("big", big, "small", small);
+        Map<String, Integer> streams = Map.of("big", bigStreams, "small", smallStreams);
         Map<String, Integer> counts = counts(step(new StagingPlan(Mechanisms.ALL), 0, SPEC, streams));
-        int least = expected.equals("big") ? 4 : 3;
-        Assertions.assertTrue(counts.getOrDefault(expected, 0) >= least, counts.toString());
+        int minLoads = expected.equals("big") ? 4 : 3;
+        Assertions.assertTrue(counts.getOrDefault(expected, 0) >= minLoads, counts.toString());
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/group/LentEngineTest.java
+++ b/serving/src/test/java/org/hallwall/serving/group/SurplusMemberStagingTest.java
@@ -33,8 +33,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A large group that lacks one engine gets it from a small group of its domain, which serves until the host is ready. */
-class LentEngineTest {
+/** Tests that a large group gets missing engines from a surplus small group, which serves until the model is staged. */
+class SurplusMemberStagingTest {
 
     private static final EngineModel BIG = new EngineModel("big", 6, 0.5, 1, 16, 1.6);
     private static final EngineSpec SPEC =
@@ -54,22 +54,22 @@
         engines.put(e.id(), e);
     }
 
-    /** Another domain in which the small model is well served, so that the fleet lacks the big one. */
-    private void smallGroupsElsewhere() {
+    /** Adds a domain with enough small groups, so that the fleet lacks the big model. */
+    private void addDomainOfSmallGroups() {
         for (int n = 0; n < 9; n++) {
             GroupState state = n % 3 == 0 ? GroupState.OPEN : GroupState.READY;
             engine(21 + n, "d1", "small", new GroupMark("h" + n / 3, 1 + n / 3, n % 3, state));
         }
     }
 
-    /** Five idle engines of the big model, and a small group of engines 11 to 13 that serves. */
-    private PlannedGroup fleet(int idle) {
+    /** Creates idle engines of the big model and an open small group of engines 11 to 13. */
+    private PlannedGroup createFleet(int idle) {
         for (int n = 11; n <= 13; n++) {
             engine(n, "small", null);
         }
         plan.step(0, SPEC, Map.of(), engines);
         PlannedGroup g = plan.groups().iterator().next();
-        smallGroupsElsewhere();
+        addDomainOfSmallGroups();
         for (int rank = 0; rank < 3; rank++) {
             GroupState state = rank == 0 ? GroupState.OPEN : GroupState.READY;
             engine(11 + rank, "small", new GroupMark(g.name(), g.epoch(), rank, state));
@@ -81,7 +81,7 @@
         return g;
     }
 
-    /** Gives the loads that a group waits for. */
+    /** Returns the required loads other than those of spares. */
     private List<StageOrder> stage(long now) {
         return staging.step(now, SPEC, plan.packing(), plan.free(engines), engines).stream()
                 .filter(o -> !o.isSpare())
@@ -90,8 +90,8 @@
 
     @ParameterizedTest
     @CsvSource({"5, 1000, 0", "5, 2000, 1", "4, 2000, 2"})
-    void hostsOfASmallGroupLoadWhatIsLacking(int idle, long later, int loads) {
-        fleet(idle);
+    void hostsOfASmallGroupStageTheMissingModel(int idle, long later, int loads) {
+        createFleet(idle);
         stage(0);
         List<StageOrder> orders = stage(later);
         Assertions.assertEquals(loads, orders.size());
@@ -101,8 +101,8 @@
     }
 
     @Test
-    void whileTheHostLoadsNoOtherIsLent() {
-        fleet(5);
+    void noOtherHostIsUsedWhileOneLoads() {
+        createFleet(5);
         stage(0);
         List<StageOrder> orders = stage(2_000);
         staging.begun(orders.get(0).target().id());
@@ -110,8 +110,8 @@
     }
 
     @Test
-    void theSmallGroupServesUntilTheHostIsReadyAndThenEnds() {
-        PlannedGroup g = fleet(5);
+    void theSmallGroupServesUntilTheModelIsStagedAndIsThenRetired() {
+        PlannedGroup g = createFleet(5);
         Assertions.assertTrue(orders(TargetOrder.Close.class).isEmpty());
         engine(11, "big", new GroupMark(g.name(), g.epoch(), 0, GroupState.OPEN));
         orders(TargetOrder.Close.class);
@@ -126,10 +126,10 @@
         Assertions.assertEquals(BIG.size(), joins.size());
     }
 
-    /** A member that has ended may be forgotten before its group is seen to break. */
+    /** A member may be removed from the directory before its group breaks. */
     @Test
-    void aForgottenMemberDoesNotKeepTheOthersFromBeingCounted() {
-        fleet(5);
+    void anUnknownMemberDoesNotPreventCountingTheOthers() {
+        createFleet(5);
         engine(11, "big", new GroupMark("g1000001", 1_000_001, 0, GroupState.OPEN));
         engines.remove(new InstanceId("i-12"));
         Assertions.assertDoesNotThrow(() -> orders(TargetOrder.Close.class));
