--- a/serving/src/main/java/org/hallwall/serving/decision/Mechanism.java
+++ b/serving/src/main/java/org/hallwall/serving/decision/Mechanism.java
@@ -18,22 +18,22 @@
  */
 package org.hallwall.serving.decision;
 
-/** A mechanism of the decisions about groups and streams. Each can be switched off, to learn what it is worth. */
+/** An optional mechanism of the decisions on groups and streams. Each can be disabled to measure its effect. */
 public enum Mechanism {
-    /** Hosts load a second model beside the one that their engine has, so that engines turn to it without the store. */
+    /** Stages a second model on hosts, so that engines can switch to it without a load from the weight store. */
     SECOND_MODEL,
-    /** Fabric domains keep engines free for the losses that are to be expected, where that is worth more than another group. */
+    /** Keeps spare engines in fabric domains for expected losses where they have a higher utility than another group. */
     SPARES,
-    /** Groups that a fabric domain has too many of end when their engines complete one that it lacks. */
+    /** Retires surplus groups of a fabric domain when their engines can complete a group that it lacks. */
     TAKE_APART,
-    /** Engines that stand idle in several fabric domains form slower groups when a model has lost many. */
+    /** Forms slower cross-domain groups from idle engines when a model has lost many groups. */
     FAR_GROUPS,
-    /** Streams that are refused count as demand for their model. */
+    /** Counts refused streams as demand for their model. */
     REFUSED_DEMAND,
-    /** Streams that are retried after a refusal find less room than first ones. */
+    /** Admits streams that are retried after a refusal at a lower limit than first attempts. */
     RETURNS_LAST,
-    /** Of two groups that are drawn the one with less in progress is chosen, instead of the least loaded of all. */
+    /** Selects the less loaded of two random groups instead of the least loaded of all. */
     TWO_CHOICES,
-    /** A stream goes to a group of its entry's own failure domain as long as that has room. */
+    /** Prefers groups in the failure domain of the entry while they have capacity. */
     NEAR_FIRST
 }
--- a/serving/src/main/java/org/hallwall/serving/decision/Mechanisms.java
+++ b/serving/src/main/java/org/hallwall/serving/decision/Mechanisms.java
@@ -21,41 +21,41 @@
 import java.util.Set;
 
 /**
- * Which mechanisms are in use.
+ * The enabled mechanisms.
  *
- * @param off those that are not
+ * @param disabled the disabled mechanisms
  */
-public record Mechanisms(Set<Mechanism> off) {
+public record Mechanisms(Set<Mechanism> disabled) {
 
-    /** All are in use. */
+    /** All mechanisms are enabled. */
     public static final Mechanisms ALL = new Mechanisms(Set.of());
 
     /**
-     * Copies the set.
+     * Creates an immutable copy of the set.
      *
-     * @param off the mechanisms that are not in use
+     * @param off the disabled mechanisms
      */
     public Mechanisms {
-        off = Set.copyOf(off);
+        disabled = Set.copyOf(disabled);
     }
 
     /**
-     * Switches some off.
+     * Disables some mechanisms.
      *
-     * @param off those that are not in use
-     * @return the others
+     * @param disabled the disabled mechanisms
+     * @return all other mechanisms
      */
-    public static Mechanisms without(Mechanism... off) {
-        return new Mechanisms(Set.of(off));
+    public static Mechanisms without(Mechanism... disabled) {
+        return new Mechanisms(Set.of(disabled));
     }
 
     /**
-     * Says whether a mechanism is in use.
+     * Returns whether a mechanism is enabled.
      *
      * @param mechanism the mechanism
-     * @return true if it is
+     * @return true if it is enabled
      */
     public boolean has(Mechanism mechanism) {
-        return !off.contains(mechanism);
+        return !disabled.contains(mechanism);
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/decision/package-info.java
+++ b/serving/src/main/java/org/hallwall/serving/decision/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** What decisions have in common: the mechanisms that can be switched off to learn what each is worth. */
+/** Optional mechanisms of the decisions on groups and streams. */
 package org.hallwall.serving.decision;
