--- a/serving/src/main/java/org/hallwall/serving/control/ConfigurationReply.java
+++ b/serving/src/main/java/org/hallwall/serving/control/ConfigurationReply.java
@@ -20,39 +20,39 @@
 
 import org.hallwall.core.settings.NetAddress;
 
-/** What a control instance answers to an operator. */
+/** The reply of a control instance to an operator. */
 public sealed interface ConfigurationReply {
 
     /**
-     * The configuration, or a higher version, is in force and lasts.
+     * The configuration, or a higher version, is committed.
      *
-     * @param version the version in force
+     * @param version the current version
      */
     record Accepted(long version) implements ConfigurationReply {}
 
     /**
-     * The configuration is refused whole.
+     * The configuration is invalid and was rejected.
      *
-     * @param reason what is wrong
+     * @param reason the error
      */
     record Invalid(String reason) implements ConfigurationReply {}
 
     /**
-     * Another control instance answers.
+     * Another control instance is the leader.
      *
-     * @param api its address
+     * @param api the address of its API
      */
     record Elsewhere(NetAddress api) implements ConfigurationReply {}
 
     /**
-     * Nobody can say; the same call may be sent again anywhere.
+     * The outcome is unknown; the call may be retried at any control instance.
      *
-     * @param reason why
+     * @param reason the reason
      */
     record Unsure(String reason) implements ConfigurationReply {}
 
     /**
-     * The newest configuration.
+     * The current configuration.
      *
      * @param bytes the operator's bytes
      */
--- a/serving/src/main/java/org/hallwall/serving/control/ConfigurationService.java
+++ b/serving/src/main/java/org/hallwall/serving/control/ConfigurationService.java
@@ -32,109 +32,109 @@
 import org.jboss.logging.Logger;
 import reactor.core.publisher.Mono;
 
-/** Accepts and shows configurations; only the leader of the log decides. */
+/** Writes and reads the configuration; only the leader of the log serves requests. */
 public final class ConfigurationService {
 
     private static final Logger LOG = Logger.getLogger(ConfigurationService.class);
-    /** How long a commit is awaited; below the second after which an operator asks another instance. */
+    /** The commit timeout; below the second after which an operator tries another instance. */
     private static final Duration COMMIT_TIMEOUT = Duration.ofMillis(850);
 
     private final LogVoter voter;
-    private final ConfigurationMachine machine;
+    private final ConfigurationStateMachine stateMachine;
     private final ConfigurationReader reader;
     private final InstanceId self;
-    private final Function<InstanceId, NetAddress> apis;
+    private final Function<InstanceId, NetAddress> apiAddresses;
 
     /**
      * Creates the service.
      *
      * @param self this control instance
-     * @param voter this voter
-     * @param machine the replicated configuration
-     * @param reader reads the operator's bytes
-     * @param apis the addresses for operators, by control instance
+     * @param voter the voter of this instance
+     * @param machine the state machine of the configuration
+     * @param reader parses the operator's bytes
+     * @param apiAddresses returns the API address of a control instance
      */
     public ConfigurationService(
             InstanceId self,
             LogVoter voter,
-            ConfigurationMachine machine,
+            ConfigurationStateMachine machine,
             ConfigurationReader reader,
-            Function<InstanceId, NetAddress> apis) {
+            Function<InstanceId, NetAddress> apiAddresses) {
         this.self = self;
         this.voter = voter;
-        this.machine = machine;
+        this.stateMachine = machine;
         this.reader = reader;
-        this.apis = apis;
+        this.apiAddresses = apiAddresses;
     }
 
     /**
-     * Puts a configuration in force.
+     * Replaces the configuration if the version is higher.
      *
      * @param bytes the operator's bytes
      * @return the reply; never an error
      */
     public Mono<ConfigurationReply> put(byte[] bytes) {
-        Configuration read;
+        Configuration parsed;
         try {
-            read = reader.read(bytes);
+            parsed = reader.read(bytes);
         } catch (ConfigurationException e) {
-            LOG.infof("configuration: refused as invalid: %s", e.getMessage());
+            LOG.infof("configuration: rejected as invalid: %s", e.getMessage());
             return Mono.just(new ConfigurationReply.Invalid(e.getMessage()));
         }
-        return leaderOnly(Mono.defer(() -> accept(read.version(), bytes)));
+        return leaderOnly(Mono.defer(() -> commit(parsed.version(), bytes)));
     }
 
     /**
-     * Shows the newest configuration.
+     * Reads the current configuration.
      *
      * @return the reply; never an error
      */
     public Mono<ConfigurationReply> get() {
-        return leaderOnly(Mono.defer(() -> upToDate(this::content)));
+        return leaderOnly(Mono.defer(() -> readLinearizably(this::currentContent)));
     }
 
-    private Mono<ConfigurationReply> leaderOnly(Mono<ConfigurationReply> answer) {
+    private Mono<ConfigurationReply> leaderOnly(Mono<ConfigurationReply> reply) {
         InstanceId leader = voter.state().leader();
         if (leader == null) {
             return Mono.just(new ConfigurationReply.Unsure("no leader is known"));
         }
         if (!leader.equals(self)) {
-            return Mono.just(new ConfigurationReply.Elsewhere(apis.apply(leader)));
+            return Mono.just(new ConfigurationReply.Elsewhere(apiAddresses.apply(leader)));
         }
-        return answer.timeout(COMMIT_TIMEOUT).onErrorResume(e -> {
-            LOG.warnf("configuration: no sure answer: %s", e.getMessage());
+        return reply.timeout(COMMIT_TIMEOUT).onErrorResume(e -> {
+            LOG.warnf("configuration: the outcome is unknown: %s", e.getMessage());
             return Mono.just(new ConfigurationReply.Unsure("the leader has no quorum"));
         });
     }
 
-    private Mono<ConfigurationReply> accept(long version, byte[] bytes) {
-        if (machine.held().version() >= version) {
-            return upToDate(() -> accepted(version));
+    private Mono<ConfigurationReply> commit(long version, byte[] bytes) {
+        if (stateMachine.current().version() >= version) {
+            return readLinearizably(() -> accepted(version));
         }
-        byte[] command = ConfigurationMachine.command(version, PackedBytes.pack(bytes));
-        return Mono.fromFuture(voter.propose(command)).map(held -> accepted(version));
+        byte[] command = ConfigurationStateMachine.command(version, PackedBytes.pack(bytes));
+        return Mono.fromFuture(voter.propose(command)).map(currentVersion -> accepted(version));
     }
 
-    /** A lease would do but for a machine that was suspended: what is shown must never be older than what was accepted. */
-    private Mono<ConfigurationReply> upToDate(Supplier<ConfigurationReply> reply) {
+    /** Serves a linearizable read: a quorum confirms the index, since the lease may have expired while the machine was suspended. */
+    private Mono<ConfigurationReply> readLinearizably(Supplier<ConfigurationReply> reply) {
         return Mono.fromFuture(voter.confirmedIndex()).map(index -> reply.get());
     }
 
     private ConfigurationReply accepted(long version) {
-        long held = machine.held().version();
-        LOG.infof("configuration: version %d acknowledged, %d is in force", version, held);
-        return new ConfigurationReply.Accepted(held);
+        long currentVersion = stateMachine.current().version();
+        LOG.infof("configuration: version %d acknowledged, %d is current", version, currentVersion);
+        return new ConfigurationReply.Accepted(currentVersion);
     }
 
-    private ConfigurationReply content() {
-        ConfigurationMachine.Held held = machine.held();
-        if (held.version() == 0) {
+    private ConfigurationReply currentContent() {
+        ConfigurationStateMachine.StoredConfiguration stored = stateMachine.current();
+        if (stored.version() == 0) {
             return new ConfigurationReply.Unsure("no configuration was accepted yet");
         }
         try {
-            return new ConfigurationReply.Content(PackedBytes.unpack(held.packed()));
+            return new ConfigurationReply.Content(PackedBytes.unpack(stored.compressed()));
         } catch (IOException e) {
-            LOG.errorf(e, "configuration: version %d cannot be unpacked", held.version());
+            LOG.errorf(e, "configuration: version %d cannot be decompressed", stored.version());
             return new ConfigurationReply.Unsure("the configuration is damaged here");
         }
     }
--- a/serving/src/main/java/org/hallwall/serving/control/ConfigurationMachine.java
+++ b/serving/src/main/java/org/hallwall/serving/control/ConfigurationStateMachine.java
@@ -23,71 +23,71 @@
 import org.hallwall.log.LogMachine;
 
 /**
- * The replicated configuration: the operator's bytes of the highest version that was accepted.
+ * The state machine of the configuration: the operator's bytes of the highest accepted version.
  *
- * <p>A command is the version in eight bytes and the compressed bytes of the configuration.
+ * <p>A command consists of the version in eight bytes and the compressed bytes of the configuration.
  */
-public final class ConfigurationMachine implements LogMachine {
+public final class ConfigurationStateMachine implements LogMachine {
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY = new byte[0];
 
     private final Runnable onChange;
-    private volatile Held held = new Held(0, NOTHING);
+    private volatile StoredConfiguration current = new StoredConfiguration(0, EMPTY);
 
     /**
-     * Creates the machine without a configuration.
+     * Creates the state machine without a configuration.
      *
-     * @param onChange told after each change, on the log's thread
+     * @param onChange called after each change, on the log's thread
      */
-    public ConfigurationMachine(Runnable onChange) {
+    public ConfigurationStateMachine(Runnable onChange) {
         this.onChange = onChange;
     }
 
     /**
-     * Makes a command.
+     * Encodes a command.
      *
      * @param version the operator's version
-     * @param packed the compressed bytes
+     * @param compressed the compressed configuration
      * @return the command
      */
-    public static byte[] command(long version, byte[] packed) {
-        return ByteBuffer.allocate(Long.BYTES + packed.length)
+    public static byte[] command(long version, byte[] compressed) {
+        return ByteBuffer.allocate(Long.BYTES + compressed.length)
                 .putLong(version)
-                .put(packed)
+                .put(compressed)
                 .array();
     }
 
     /**
-     * Gives what is held.
+     * Returns the stored configuration.
      *
-     * @return the version and its compressed bytes
+     * @return the version and the compressed bytes
      */
-    public Held held() {
-        return held;
+    public StoredConfiguration current() {
+        return current;
     }
 
     @Override
     public Object apply(long index, byte[] command) {
         ByteBuffer in = ByteBuffer.wrap(command);
         long version = in.getLong();
-        if (version > held.version()) {
-            byte[] packed = new byte[in.remaining()];
-            in.get(packed);
-            held = new Held(version, packed);
+        if (version > current.version()) {
+            byte[] compressed = new byte[in.remaining()];
+            in.get(compressed);
+            current = new StoredConfiguration(version, compressed);
             onChange.run();
         }
-        return held.version();
+        return current.version();
     }
 
     @Override
     public void skip(long index) {
-        // entries of the log itself carry no configuration
+        // internal entries of the log carry no configuration
     }
 
     @Override
     public byte[] snapshot() {
-        Held h = held;
-        return h.version() == 0 ? NOTHING : command(h.version(), h.packed());
+        StoredConfiguration stored = current;
+        return stored.version() == 0 ? EMPTY : command(stored.version(), stored.compressed());
     }
 
     @Override
@@ -98,10 +98,10 @@
     }
 
     /**
-     * A configuration as it is kept.
+     * A stored configuration.
      *
      * @param version the operator's version; zero if there is none
-     * @param packed the compressed bytes
+     * @param compressed the compressed bytes
      */
-    public record Held(long version, byte[] packed) {}
+    public record StoredConfiguration(long version, byte[] compressed) {}
 }
--- a/serving/src/main/java/org/hallwall/serving/control/ControlMembers.java
+++ b/serving/src/main/java/org/hallwall/serving/control/ControlMembers.java
@@ -39,22 +39,22 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Finds out which control instances there are.
+ * The persistent list of control instances, and its discovery through the seeds.
  *
- * <p>At the very first start they are the seeds, which are the same everywhere. Later the list lies beside the log. A blank
- * disk asks the seeds; the log then admits it like any voter that lost its disk.
+ * <p>At the first start of the system the members are the seeds, which are the same on all instances. Afterwards the list is stored
+ * in the data folder. An instance without a stored list queries the seeds; the log then admits it like a voter that lost its disk.
  */
 public final class ControlMembers {
 
     private static final Logger LOG = Logger.getLogger(ControlMembers.class);
-    private static final String FILE = "members.json";
-    /** How long one seed may take to answer, and how often all are asked again. */
-    private static final Duration ASK_TIMEOUT = Duration.ofMillis(400);
+    private static final String FILE_NAME = "members.json";
+    /** The response timeout of a seed, and the delay before all seeds are queried again. */
+    private static final Duration QUERY_TIMEOUT = Duration.ofMillis(400);
 
     private final Path folder;
 
     /**
-     * Creates the list's place.
+     * Creates the list in a data folder.
      *
      * @param folder the data folder
      */
@@ -63,31 +63,31 @@
     }
 
     /**
-     * Gives the list that is stored.
+     * Returns the stored list.
      *
-     * @return the members; empty if none are stored
-     * @throws LogStoreException if the file cannot be read
+     * @return the members; empty if no list is stored or the file cannot be read
+     * @throws LogStoreException declared but not thrown
      */
-    public List<ControlMember> stored() throws LogStoreException {
-        Path file = folder.resolve(FILE);
+    public List<ControlMember> load() throws LogStoreException {
+        Path file = folder.resolve(FILE_NAME);
         try {
             if (!Files.exists(file)) {
                 return List.of();
             }
             return Json.MAPPER.readValue(file.toFile(), new TypeReference<List<ControlMember>>() {});
         } catch (IOException e) {
-            LOG.warnf("control: the list of members cannot be read, seeds are asked: %s", e.getMessage());
+            LOG.warnf("control: the list of members cannot be read, querying the seeds: %s", e.getMessage());
             return List.of();
         }
     }
 
     /**
-     * Forms the data folder of a new system.
+     * Initializes the data folder of a new system.
      *
-     * @param seeds the first members
-     * @throws LogStoreException if it cannot be written
+     * @param seeds the initial members
+     * @throws LogStoreException if the folder cannot be written
      */
-    public void form(List<ControlMember> seeds) throws LogStoreException {
+    public void initialize(List<ControlMember> seeds) throws LogStoreException {
         store(seeds);
         LogStore.form(folder);
     }
@@ -96,28 +96,28 @@
      * Stores the list.
      *
      * @param members the members
-     * @throws LogStoreException if it cannot be written
+     * @throws LogStoreException if the file cannot be written
      */
     public void store(List<ControlMember> members) throws LogStoreException {
         try {
             Files.createDirectories(folder);
-            DurableFile.replace(folder, FILE, ByteBuffer.wrap(Json.MAPPER.writeValueAsBytes(members)));
+            DurableFile.replace(folder, FILE_NAME, ByteBuffer.wrap(Json.MAPPER.writeValueAsBytes(members)));
         } catch (IOException e) {
             throw new LogStoreException("the list of members cannot be written", e);
         }
     }
 
     /**
-     * Asks the seeds until one knows the members.
+     * Queries the seeds until one returns the members.
      *
-     * @param question the question
+     * @param question the query
      * @param seeds links to the seeds
      * @return the members
      */
-    public static List<ControlMember> ask(MembersQuestion question, List<PeerLink> seeds) {
+    public static List<ControlMember> discover(MembersQuestion question, List<PeerLink> seeds) {
         while (true) {
             Members found = Flux.fromIterable(seeds)
-                    .flatMap(l -> l.call(question, ASK_TIMEOUT)
+                    .flatMap(l -> l.call(question, QUERY_TIMEOUT)
                             .cast(Members.class)
                             .filter(m -> !m.members().isEmpty())
                             .onErrorResume(e -> Mono.empty()))
@@ -125,8 +125,8 @@
             if (found != null) {
                 return found.members();
             }
-            LOG.infof("control: no seed knows the members yet");
-            Mono.delay(ASK_TIMEOUT).block();
+            LOG.infof("control: no seed has returned the members yet");
+            Mono.delay(QUERY_TIMEOUT).block();
         }
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/control/ControlMembership.java
+++ b/serving/src/main/java/org/hallwall/serving/control/ControlMembership.java
@@ -41,27 +41,26 @@
 import reactor.core.scheduler.Schedulers;
 
 /**
- * Follows the voters that the log names, and asks to become one of them if this instance is none.
+ * Monitors the voters of the log, and requests admission if this instance is not one of them.
  *
- * <p>An instance that hears of no leader for long asks the others whether it still counts: it may have been replaced while it
- * was away.
+ * <p>An instance without a known leader queries the other voters, since it may have been replaced while it was down.
  */
 final class ControlMembership implements Closeable {
 
     private static final Logger LOG = Logger.getLogger(ControlMembership.class);
-    private static final long LOOK_MILLIS = 400;
-    /** Without a leader for this long, the others are asked at each look, in milliseconds: longer than most elections. */
+    private static final long CHECK_INTERVAL_MILLIS = 400;
+    /** The time without a leader after which the other voters are queried, in milliseconds: longer than most elections. */
     private static final long LEADERLESS_MILLIS = 800;
 
-    private static final Duration ASK_TIMEOUT = Duration.ofMillis(400);
+    private static final Duration QUERY_TIMEOUT = Duration.ofMillis(400);
 
     private final ControlNodeSettings settings;
     private final Function<InstanceId, PeerLink> links;
-    private final Consumer<InstanceId> follow;
+    private final Consumer<InstanceId> voterListener;
     private final Ticker ticker;
     private LogVoter voter;
-    private Disposable looking;
-    private long leaderAt;
+    private Disposable checkTask;
+    private long lastLeaderAt;
     private volatile boolean replaced;
 
     ControlMembership(
@@ -71,50 +70,51 @@
             Ticker ticker) {
         this.settings = settings;
         this.links = links;
-        this.follow = follow;
+        this.voterListener = follow;
         this.ticker = ticker;
     }
 
-    void start(LogVoter log) {
-        voter = log;
-        leaderAt = ticker.millis();
-        looking = Schedulers.parallel().schedulePeriodically(this::look, 0, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+    void start(LogVoter logVoter) {
+        voter = logVoter;
+        lastLeaderAt = ticker.millis();
+        checkTask = Schedulers.parallel()
+                .schedulePeriodically(this::checkMembership, 0, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Says whether others have told that this instance no longer counts. */
+    /** Returns whether another voter has reported that this instance was replaced. */
     boolean wasReplaced() {
         return replaced;
     }
 
     @Override
     public void close() {
-        if (looking != null) {
-            looking.dispose();
+        if (checkTask != null) {
+            checkTask.dispose();
         }
     }
 
-    private void look() {
+    private void checkMembership() {
         LogState state = voter.state();
         InstanceId self = settings.self().instance();
         List<InstanceId> others =
                 state.voters().stream().filter(v -> !v.equals(self)).toList();
-        others.forEach(follow);
+        others.forEach(voterListener);
         long now = ticker.millis();
         if (state.leader() != null) {
-            leaderAt = now;
+            lastLeaderAt = now;
             replaced = false;
         }
         if (!state.voters().contains(self) || replaced) {
             others.forEach(o -> links.apply(o).send(new JoinRequest(self)));
-        } else if (now - leaderAt > LEADERLESS_MILLIS) {
-            askWhetherReplaced(self, others);
+        } else if (now - lastLeaderAt > LEADERLESS_MILLIS) {
+            queryWhetherReplaced(self, others);
         }
     }
 
-    private void askWhetherReplaced(InstanceId self, List<InstanceId> others) {
+    private void queryWhetherReplaced(InstanceId self, List<InstanceId> others) {
         Flux.fromIterable(others)
                 .flatMap(o -> links.apply(o)
-                        .call(new MembersQuestion(self), ASK_TIMEOUT)
+                        .call(new MembersQuestion(self), QUERY_TIMEOUT)
                         .cast(Members.class)
                         .onErrorResume(e -> Mono.empty()))
                 .filter(m -> !m.members().isEmpty())
@@ -122,7 +122,7 @@
                 .filter(m -> !m.contains(self))
                 .next()
                 .subscribe(m -> {
-                    LOG.warnf("control: %s was replaced while it was away, the voters are %s", self, m);
+                    LOG.warnf("control: %s was replaced while it was down, the voters are %s", self, m);
                     replaced = true;
                 });
     }
--- a/serving/src/main/java/org/hallwall/serving/control/ControlNode.java
+++ b/serving/src/main/java/org/hallwall/serving/control/ControlNode.java
@@ -58,7 +58,7 @@
 import org.jboss.logging.Logger;
 import reactor.core.publisher.Mono;
 
-/** A control instance: a voter of the log, the feed of what targets announce to it, and perhaps the group controller. */
+/** A control instance: a voter of the log, the feed of target announcements, and the group controller while it leads. */
 public final class ControlNode implements Closeable {
 
     private static final Logger LOG = Logger.getLogger(ControlNode.class);
@@ -68,47 +68,47 @@
     private final Ticker ticker = Ticker.SYSTEM;
     private final Map<InstanceId, PeerLink> links = new ConcurrentHashMap<>();
     private final Map<InstanceId, FeedFollower> followers = new ConcurrentHashMap<>();
-    private final EntryReports entries;
-    private final LoadLedger loads;
+    private final EntryReports entryReports;
+    private final LoadSummary loadSummary;
     private final PermitLedger permits;
     private final TargetFeed feed;
     private final TargetDirectory directory;
-    private final ConfigurationMachine machine;
+    private final ConfigurationStateMachine configurationMachine;
     private final CrashLedger ledger = new CrashLedger();
-    private final AtomicReference<Configuration> parsed = new AtomicReference<>(Configuration.NONE);
+    private final AtomicReference<Configuration> parsedConfiguration = new AtomicReference<>(Configuration.NONE);
     private final PeerCodec codec = new PeerCodec(kinds());
-    private final PeerServer peers;
+    private final PeerServer peerServer;
     private final ControlMembership membership;
     private LogStore store;
     private LogVoter voter;
-    private GroupController groups;
+    private GroupController groupController;
     private ConfigurationService service;
-    private CrashService crashes;
+    private CrashService crashService;
 
     /**
      * Creates a control instance; {@link #start(TargetGateway)} starts it.
      *
-     * @param settings what it knows at its start
-     * @param reader reads configurations
-     * @param permits keeps the accounts of targets with a rate limit
+     * @param settings the settings
+     * @param reader parses configurations
+     * @param permits the permits of targets with a rate limit
      */
     public ControlNode(ControlNodeSettings settings, ConfigurationReader reader, PermitLedger permits) {
         this.settings = settings;
         this.reader = reader;
-        this.entries = new EntryReports(settings.firstStart(), ticker);
-        this.loads = new LoadLedger(ticker);
+        this.entryReports = new EntryReports(settings.firstStart(), ticker);
+        this.loadSummary = new LoadSummary(ticker);
         this.permits = permits;
         this.feed = new TargetFeed(ticker);
         this.directory = new TargetDirectory(ticker);
-        this.machine = new ConfigurationMachine(feed::wake);
-        this.membership = new ControlMembership(settings, this::linkTo, this::follow, ticker);
-        this.peers = new PeerServer(settings.fleet(), codec, this::handle);
+        this.configurationMachine = new ConfigurationStateMachine(feed::wake);
+        this.membership = new ControlMembership(settings, this::linkTo, this::startFollower, ticker);
+        this.peerServer = new PeerServer(settings.fleet(), codec, this::handle);
     }
 
     /**
-     * Gives the kinds of peer messages.
+     * Returns the registered types of peer messages.
      *
-     * @return the kinds
+     * @return the types by number
      */
     public static PeerKinds kinds() {
         PeerKinds kinds = new PeerKinds();
@@ -118,63 +118,63 @@
     }
 
     /**
-     * Starts; returns when the members are known and the log is open.
+     * Starts the instance; blocks until the members are known and the log is open.
      *
-     * @param gateway speaks to targets
+     * @param gateway sends orders and probes to targets
      * @throws IOException if a port or the data folder cannot be opened
      */
     public void start(TargetGateway gateway) throws IOException {
-        peers.open(settings.peerListen());
-        List<InstanceId> known = findMembers();
-        LOG.infof("control: %s starts, members %s", settings.self().instance(), known);
+        peerServer.open(settings.peerListen());
+        List<InstanceId> members = findMembers();
+        LOG.infof("control: %s starts, members %s", settings.self().instance(), members);
         store = LogStore.open(settings.dataFolder());
         voter = new LogVoter(
-                new LogSeat(settings.self().instance(), known, settings.disksLost(), LogTiming.DEFAULT),
+                new LogSeat(settings.self().instance(), members, settings.toleratedDiskLosses(), LogTiming.DEFAULT),
                 store,
-                new ControlMachine(machine, ledger, feed::wake),
+                new ControlStateMachine(configurationMachine, ledger, feed::wake),
                 (to, message) -> linkTo(to).send(message),
                 ticker,
                 new SecureRandom(),
                 () -> Runtime.getRuntime().halt(ExitCode.FAILURE.code()));
-        ControllerInputs view = new ControllerInputs(directory, this::configuration, entries::streams);
-        groups = new GroupController(
+        ControllerInputs view = new ControllerInputs(directory, this::configuration, entryReports::streams);
+        groupController = new GroupController(
                 voter, view, gateway, feed::markLost, settings.timing(), settings.mechanisms(), ticker);
-        crashes = new CrashService(voter, ledger, System::currentTimeMillis);
+        crashService = new CrashService(voter, ledger, System::currentTimeMillis);
         service = new ConfigurationService(
                 settings.self().instance(),
                 voter,
-                machine,
+                configurationMachine,
                 reader,
                 id -> settings.member(id).api());
-        directory.onChange(r -> groups.requestStep());
+        directory.onChange(r -> groupController.requestStep());
         voter.start();
-        groups.start();
+        groupController.start();
         membership.start(voter);
     }
 
     /**
-     * Takes a target's announcement.
+     * Applies a target's announcement.
      *
-     * @param record what it announced
+     * @param record the announcement
      */
     public void announce(TargetRecord record) {
-        boolean news = feed.announce(record);
+        boolean changed = feed.announce(record);
         directory.take(record);
         directory.heard(record.instance());
-        if (news) {
+        if (changed) {
             LOG.infof("targets: %s", record);
         }
     }
 
     /**
-     * Takes a target's word that it ends.
+     * Applies a target's announcement that it shuts down.
      *
      * @param name the target's name
      */
     public void leave(String name) {
         TargetRecord known = directory.findNamed(name);
         InstanceId instance = known == null ? StartedTarget.id(name, 0) : known.instance();
-        LOG.infof("targets: %s ends, known as %s", name, known);
+        LOG.infof("targets: %s shuts down, last announcement %s", name, known);
         feed.leave(instance, known);
         if (known != null) {
             directory.take(known.with(Long.MAX_VALUE, TargetRecord.Presence.GONE));
@@ -182,18 +182,18 @@
     }
 
     /**
-     * Gives the service for operators.
+     * Returns the service for operators.
      *
-     * @return the service; null until the log is open and this instance counts
+     * @return the service; null unless the log is open and this instance is a voter
      */
     public ConfigurationService service() {
         return isMember() ? service : null;
     }
 
     /**
-     * Says whether this instance counts: what is announced to one that does not count would reach nobody.
+     * Returns whether this instance is a voter. Announcements to an instance that is not a voter would reach no entry.
      *
-     * @return true if the log names it among the voters, as far as it knows
+     * @return true if the log lists it as a voter and it has not learned that it was replaced
      */
     public boolean isMember() {
         LogVoter v = voter;
@@ -203,7 +203,7 @@
     }
 
     /**
-     * Gives the log's voter.
+     * Returns the voter of the log.
      *
      * @return the voter; null until the log is open
      */
@@ -212,16 +212,16 @@
     }
 
     /**
-     * Gives which requests targets have ended under.
+     * Returns the crash ledger.
      *
-     * @return the replicated state
+     * @return the replicated ledger of requests during which targets crashed
      */
     public CrashLedger ledger() {
         return ledger;
     }
 
     /**
-     * Gives all targets that are known.
+     * Returns the directory of all targets.
      *
      * @return the directory
      */
@@ -234,13 +234,13 @@
         LOG.infof("control: %s stops", settings.self().instance());
         membership.close();
         followers.values().forEach(FeedFollower::close);
-        if (groups != null) {
-            groups.close();
+        if (groupController != null) {
+            groupController.close();
         }
         if (voter != null) {
             voter.close();
         }
-        peers.close();
+        peerServer.close();
         links.values().forEach(PeerLink::close);
         closeStore();
     }
@@ -256,22 +256,22 @@
     }
 
     private List<InstanceId> findMembers() throws LogStoreException {
-        ControlMembers list = new ControlMembers(settings.dataFolder());
-        List<ControlMember> known = list.stored();
-        if (known.isEmpty() && settings.firstStart()) {
-            known = settings.seeds();
-            list.form(known);
-        } else if (known.isEmpty()) {
-            known = ControlMembers.ask(
+        ControlMembers memberList = new ControlMembers(settings.dataFolder());
+        List<ControlMember> found = memberList.load();
+        if (found.isEmpty() && settings.firstStart()) {
+            found = settings.seeds();
+            memberList.initialize(found);
+        } else if (found.isEmpty()) {
+            found = ControlMembers.discover(
                     new FeedMessage.MembersQuestion(settings.self().instance()),
                     settings.seeds().stream()
                             .map(ControlMember::instance)
                             .filter(s -> !s.equals(settings.self().instance()))
                             .map(this::linkTo)
                             .toList());
-            list.store(known);
+            memberList.store(found);
         }
-        return known.stream().map(ControlMember::instance).toList();
+        return found.stream().map(ControlMember::instance).toList();
     }
 
     private PeerLink linkTo(InstanceId id) {
@@ -284,10 +284,10 @@
                         codec));
     }
 
-    private void follow(InstanceId id) {
+    private void startFollower(InstanceId id) {
         followers.computeIfAbsent(id, i -> {
             FeedFollower f = new FeedFollower(
-                    i.value(), linkTo(i), true, () -> Long.MAX_VALUE, () -> Long.MAX_VALUE, Map::of, this::take);
+                    i.value(), linkTo(i), true, () -> Long.MAX_VALUE, () -> Long.MAX_VALUE, Map::of, this::applyNews);
             f.start();
             return f;
         });
@@ -300,24 +300,24 @@
                 : v.state().voters().stream().map(settings::member).toList();
     }
 
-    private void take(FeedMessage.News news) {
+    private void applyNews(FeedMessage.News news) {
         news.records().forEach(directory::take);
         news.heard().forEach(directory::heard);
     }
 
     private Configuration configuration() {
-        ConfigurationMachine.Held held = machine.held();
-        Configuration last = parsed.get();
-        if (held.version() == last.version()) {
-            return last;
+        ConfigurationStateMachine.StoredConfiguration stored = configurationMachine.current();
+        Configuration parsed = parsedConfiguration.get();
+        if (stored.version() == parsed.version()) {
+            return parsed;
         }
         try {
-            Configuration fresh = reader.read(PackedBytes.unpack(held.packed()));
-            parsed.set(fresh);
-            return fresh;
+            Configuration updated = reader.read(PackedBytes.unpack(stored.compressed()));
+            parsedConfiguration.set(updated);
+            return updated;
         } catch (IOException | ConfigurationException e) {
-            LOG.errorf(e, "configuration: version %d cannot be read here", held.version());
-            return last;
+            LOG.errorf(e, "configuration: version %d cannot be parsed by this instance", stored.version());
+            return parsed;
         }
     }
 
@@ -329,63 +329,64 @@
             return Mono.empty();
         }
         if (message instanceof FeedMessage.Poll m) {
-            return answer(from, m);
+            return answerPoll(from, m);
         }
         if (message instanceof FeedMessage.MembersQuestion) {
-            // without a leader its list may be old
-            boolean knows = voter != null && voter.state().leader() != null;
-            return Mono.just(new FeedMessage.Members(knows ? members() : List.of()));
+            // without a leader the list of members may be outdated
+            boolean hasLeader = voter != null && voter.state().leader() != null;
+            return Mono.just(new FeedMessage.Members(hasLeader ? members() : List.of()));
         }
         if (message instanceof FeedMessage.JoinRequest m && voter != null) {
             voter.consider(m.from());
             return Mono.empty();
         }
         if (message instanceof FeedMessage.LoadReport m) {
-            boolean controls = voter != null && voter.holdsLease();
+            boolean leading = voter != null && voter.holdsLease();
             return Mono.just(
-                    controls
-                            ? new FeedMessage.LoadSums(true, loads.take(from, m.running()), permits.limits())
+                    leading
+                            ? new FeedMessage.LoadSums(true, loadSummary.update(from, m.running()), permits.limits())
                             : new FeedMessage.LoadSums(false, Map.of(), List.of()));
         }
         if (message instanceof FeedMessage.PermitRequest m) {
-            boolean controls = voter != null && voter.holdsLease();
-            return Mono.just(new FeedMessage.Permits(controls, controls ? permits.take(from, m.asks()) : List.of()));
+            boolean leading = voter != null && voter.holdsLease();
+            return Mono.just(new FeedMessage.Permits(leading, leading ? permits.take(from, m.asks()) : List.of()));
         }
-        if (message instanceof FeedMessage.CrashReport m && crashes != null) {
-            return crashes.take(m);
+        if (message instanceof FeedMessage.CrashReport m && crashService != null) {
+            return crashService.commitReport(m);
         }
-        if (message instanceof FeedMessage.TrialQuestion m && crashes != null) {
-            return crashes.trial(m.digest());
+        if (message instanceof FeedMessage.TrialQuestion m && crashService != null) {
+            return crashService.requestTrial(m.digest());
         }
-        if (message instanceof FeedMessage.StalledHead m && groups != null) {
-            return groups.handleStalledHead(m);
+        if (message instanceof FeedMessage.StalledHead m && groupController != null) {
+            return groupController.handleStalledHead(m);
         }
-        if (message instanceof FeedMessage.SuspectFinding m && groups != null) {
-            return groups.handleSuspectFinding(m);
+        if (message instanceof FeedMessage.SuspectFinding m && groupController != null) {
+            return groupController.handleSuspectFinding(m);
         }
         return Mono.empty();
     }
 
-    private Mono<FeedMessage.News> answer(InstanceId from, FeedMessage.Poll poll) {
+    private Mono<FeedMessage.News> answerPoll(InstanceId from, FeedMessage.Poll poll) {
         if (poll.heardAfter() < 0) {
-            entries.take(from, poll.streams());
-            if (crashes != null) {
-                crashes.ensureKey();
+            entryReports.take(from, poll.streams());
+            if (crashService != null) {
+                crashService.ensureKey();
             }
         }
-        return feed.await(poll, machine.held().version(), ledger.version()).map(news -> news(poll));
+        return feed.await(poll, configurationMachine.current().version(), ledger.version())
+                .map(news -> createNews(poll));
     }
 
-    private FeedMessage.News news(FeedMessage.Poll poll) {
-        ConfigurationMachine.Held held = machine.held();
-        byte[] packed = held.version() > poll.configurationVersion() ? held.packed() : null;
+    private FeedMessage.News createNews(FeedMessage.Poll poll) {
+        ConfigurationStateMachine.StoredConfiguration stored = configurationMachine.current();
+        byte[] compressed = stored.version() > poll.configurationVersion() ? stored.compressed() : null;
         return feed.news(poll)
                 .with(
-                        held.version(),
-                        packed,
+                        stored.version(),
+                        compressed,
                         members(),
-                        entries.count(),
-                        entries.most(),
+                        entryReports.count(),
+                        entryReports.most(),
                         ledger.news(poll.suspectsVersion()));
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/control/ControlNodeSettings.java
+++ b/serving/src/main/java/org/hallwall/serving/control/ControlNodeSettings.java
@@ -28,17 +28,17 @@
 import org.hallwall.serving.target.FeedMessage.ControlMember;
 
 /**
- * What a control instance knows at its start.
+ * The settings of a control instance.
  *
  * @param fleet the name that all processes of the system share
  * @param self this instance
- * @param peerListen where it takes peer messages
- * @param dataFolder its data folder
+ * @param peerListen the listen address for peer messages
+ * @param dataFolder the data folder
  * @param firstStart whether the whole system starts for the first time
- * @param seeds some control instances
- * @param disksLost how many disks of control instances may be lost at once with all that was accepted kept
- * @param timing the limits of the group controller
- * @param mechanisms the mechanisms of its decisions in use
+ * @param seeds the control instances that are known initially
+ * @param toleratedDiskLosses the number of disks that control instances may lose at once without a loss of committed entries
+ * @param timing the time limits of the group controller
+ * @param mechanisms the enabled mechanisms of its decisions
  */
 public record ControlNodeSettings(
         String fleet,
@@ -47,14 +47,14 @@
         Path dataFolder,
         boolean firstStart,
         List<ControlMember> seeds,
-        int disksLost,
+        int toleratedDiskLosses,
         ControllerTiming timing,
         Mechanisms mechanisms) {
 
     /**
-     * Describes a control instance by its name, which is its address; ports are alike on all instances.
+     * Returns the addresses of a control instance. Its ID is its host, and all instances use the same ports.
      *
-     * @param instance the name
+     * @param instance the instance ID
      * @return the control instance
      */
     public ControlMember member(InstanceId instance) {
--- a/serving/src/main/java/org/hallwall/serving/control/ControlMachine.java
+++ b/serving/src/main/java/org/hallwall/serving/control/ControlStateMachine.java
@@ -25,37 +25,37 @@
 import org.hallwall.serving.crash.CrashLedger;
 
 /**
- * What the log of the control instances replicates: the configuration, and which requests targets have ended under.
+ * The state machine of the control log: the configuration and the crash ledger.
  *
- * <p>A command or snapshot that begins with {@link #LEDGER} in eight bytes concerns the requests; any other is the configuration's, whose
- * versions are not negative, so that a log written without the requests can be read.
+ * <p>A command of the ledger, and a snapshot that contains the ledger, begins with {@link #LEDGER_MARKER} in eight bytes. All others contain
+ * the configuration only; its versions are not negative, so logs written before the ledger was introduced can be read.
  */
-final class ControlMachine implements LogMachine {
+final class ControlStateMachine implements LogMachine {
 
-    private static final long LEDGER = -1;
+    private static final long LEDGER_MARKER = -1;
 
-    private final ConfigurationMachine configuration;
+    private final ConfigurationStateMachine configuration;
     private final CrashLedger ledger;
     private final Runnable onChange;
 
     /**
-     * Creates the machine.
+     * Creates the state machine.
      *
-     * @param configuration the configuration
-     * @param ledger the requests
-     * @param onChange told after each change of the requests, on the log's thread
+     * @param configuration the state machine of the configuration
+     * @param ledger the crash ledger
+     * @param onChange called after each change of the ledger, on the log's thread
      */
-    ControlMachine(ConfigurationMachine configuration, CrashLedger ledger, Runnable onChange) {
+    ControlStateMachine(ConfigurationStateMachine configuration, CrashLedger ledger, Runnable onChange) {
         this.configuration = configuration;
         this.ledger = ledger;
         this.onChange = onChange;
     }
 
-    /** Makes a command of the log. */
+    /** Encodes a command of the crash ledger. */
     static byte[] command(CrashCommand c) {
         byte[] bytes = c.bytes();
         return ByteBuffer.allocate(Long.BYTES + bytes.length)
-                .putLong(LEDGER)
+                .putLong(LEDGER_MARKER)
                 .put(bytes)
                 .array();
     }
@@ -63,12 +63,12 @@
     @Override
     public Object apply(long index, byte[] command) {
         ByteBuffer in = ByteBuffer.wrap(command);
-        if (in.getLong() != LEDGER) {
+        if (in.getLong() != LEDGER_MARKER) {
             return configuration.apply(index, command);
         }
-        long before = ledger.version();
-        boolean granted = ledger.apply(CrashCommand.read(rest(in)));
-        if (ledger.version() != before) {
+        long previousVersion = ledger.version();
+        boolean granted = ledger.apply(CrashCommand.read(remainingBytes(in)));
+        if (ledger.version() != previousVersion) {
             onChange.run();
         }
         return granted;
@@ -76,39 +76,39 @@
 
     @Override
     public void skip(long index) {
-        // entries of the log itself change neither
+        // internal entries of the log change no state
     }
 
     @Override
     public byte[] snapshot() {
-        byte[] first = configuration.snapshot();
+        byte[] configurationState = configuration.snapshot();
         if (ledger.version() == 0) {
-            return first;
+            return configurationState;
         }
-        byte[] second = ledger.snapshot();
-        return ByteBuffer.allocate(Long.BYTES + Integer.BYTES + first.length + second.length)
-                .putLong(LEDGER)
-                .putInt(first.length)
-                .put(first)
-                .put(second)
+        byte[] ledgerState = ledger.snapshot();
+        return ByteBuffer.allocate(Long.BYTES + Integer.BYTES + configurationState.length + ledgerState.length)
+                .putLong(LEDGER_MARKER)
+                .putInt(configurationState.length)
+                .put(configurationState)
+                .put(ledgerState)
                 .array();
     }
 
     @Override
     public void restore(long index, byte[] state) {
-        if (state.length == 0 || ByteBuffer.wrap(state).getLong() != LEDGER) {
+        if (state.length == 0 || ByteBuffer.wrap(state).getLong() != LEDGER_MARKER) {
             configuration.restore(index, state);
             return;
         }
         ByteBuffer in = ByteBuffer.wrap(state, Long.BYTES, state.length - Long.BYTES);
-        byte[] first = new byte[in.getInt()];
-        in.get(first);
-        configuration.restore(index, first);
-        ledger.restore(rest(in));
+        byte[] configurationState = new byte[in.getInt()];
+        in.get(configurationState);
+        configuration.restore(index, configurationState);
+        ledger.restore(remainingBytes(in));
         onChange.run();
     }
 
-    private static byte[] rest(ByteBuffer in) {
+    private static byte[] remainingBytes(ByteBuffer in) {
         byte[] out = new byte[in.remaining()];
         in.get(out);
         return out;
--- a/serving/src/main/java/org/hallwall/serving/control/CrashService.java
+++ b/serving/src/main/java/org/hallwall/serving/control/CrashService.java
@@ -32,36 +32,36 @@
 import org.jboss.logging.Logger;
 import reactor.core.publisher.Mono;
 
-/** Takes what entries have seen of requests that end targets into the log, and grants trials; only the leader does. */
+/** Writes reports on requests that crash targets to the log, and grants trials; only the leader serves requests. */
 final class CrashService {
 
     private static final Logger LOG = Logger.getLogger(CrashService.class);
 
     /**
-     * How long the log may not have heard of a request that still comes, in milliseconds: well within the day after which it is forgotten,
-     * and few entries of the log for one that comes many times a second.
+     * The interval at which a held-back request that is still received is recorded in the log, in milliseconds. It is well below the
+     * ledger's retention of a day, and limits the log entries for a request that is sent many times a second.
      */
-    private static final long SEEN_MILLIS = 3_600_000;
+    private static final long SEEN_INTERVAL_MILLIS = 3_600_000;
 
     private final LogVoter voter;
     private final CrashLedger ledger;
-    private final LongSupplier timeOfDay;
+    private final LongSupplier wallClock;
     private boolean keyProposed;
 
     /**
      * Creates the service.
      *
-     * @param voter this voter
-     * @param ledger the replicated state
-     * @param timeOfDay the time of day in milliseconds since 1970
+     * @param voter the voter of this instance
+     * @param ledger the crash ledger
+     * @param wallClock the wall clock in milliseconds since 1970
      */
-    CrashService(LogVoter voter, CrashLedger ledger, LongSupplier timeOfDay) {
+    CrashService(LogVoter voter, CrashLedger ledger, LongSupplier wallClock) {
         this.voter = voter;
         this.ledger = ledger;
-        this.timeOfDay = timeOfDay;
+        this.wallClock = wallClock;
     }
 
-    /** Sees to it that the system has a key for digests; called often. */
+    /** Proposes a key for digests if the system has none; called with each poll of an entry. */
     synchronized void ensureKey() {
         if (keyProposed || ledger.key() != null || !voter.holdsLease()) {
             return;
@@ -69,47 +69,47 @@
         keyProposed = true;
         byte[] key = new byte[RequestDigester.KEY_BYTES];
         new SecureRandom().nextBytes(key);
-        propose(CrashCommand.key(timeOfDay.getAsLong(), key))
+        propose(CrashCommand.key(wallClock.getAsLong(), key))
                 .subscribe(
                         done -> {},
-                        e -> LOG.warnf("crashes: no key for digests yet, %s", e.getMessage()),
-                        this::mayProposeKey);
+                        e -> LOG.warnf("crashes: no key for digests was committed, %s", e.getMessage()),
+                        this::clearKeyProposal);
     }
 
-    private synchronized void mayProposeKey() {
+    private synchronized void clearKeyProposal() {
         keyProposed = false;
     }
 
-    /** Takes a report; the answer says that it lasts, or that another instance has to be asked. */
-    Mono<CrashReportTaken> take(CrashReport report) {
+    /** Commits a report; the answer says whether it is committed or must be sent to another instance. */
+    Mono<CrashReportTaken> commitReport(CrashReport report) {
         if (!voter.holdsLease()) {
             return Mono.just(new CrashReportTaken(false, 0));
         }
-        return propose(CrashCommand.seen(timeOfDay.getAsLong(), report.ended(), report.survived()))
+        return propose(CrashCommand.seen(wallClock.getAsLong(), report.ended(), report.survived()))
                 .map(done -> new CrashReportTaken(true, ledger.version()))
                 .onErrorResume(e -> {
-                    LOG.warnf("crashes: a report on ended targets was not taken, %s", e.getMessage());
+                    LOG.warnf("crashes: a report on crashed targets was not committed, %s", e.getMessage());
                     return Mono.just(new CrashReportTaken(false, 0));
                 });
     }
 
-    /** Answers whether a request that is held back may be tried now. */
-    Mono<TrialAnswer> trial(RequestDigest digest) {
+    /** Returns whether a trial of a held-back request is granted. */
+    Mono<TrialAnswer> requestTrial(RequestDigest digest) {
         if (!voter.holdsLease()) {
             return Mono.just(new TrialAnswer(false, false, 0));
         }
-        long now = timeOfDay.getAsLong();
+        long now = wallClock.getAsLong();
         long pause = ledger.trialInMillis(digest, now);
-        if (pause > 0 && ledger.unseenMillis(digest, now) < SEEN_MILLIS) {
+        if (pause > 0 && ledger.unseenMillis(digest, now) < SEEN_INTERVAL_MILLIS) {
             return Mono.just(new TrialAnswer(true, false, pause));
         }
         return propose(CrashCommand.trial(now, digest))
                 .map(granted -> new TrialAnswer(
-                        true, Boolean.TRUE.equals(granted), ledger.trialInMillis(digest, timeOfDay.getAsLong())))
+                        true, Boolean.TRUE.equals(granted), ledger.trialInMillis(digest, wallClock.getAsLong())))
                 .onErrorReturn(new TrialAnswer(false, false, 0));
     }
 
     private Mono<Object> propose(CrashCommand c) {
-        return Mono.fromFuture(() -> voter.propose(ControlMachine.command(c)));
+        return Mono.fromFuture(() -> voter.propose(ControlStateMachine.command(c)));
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/control/EntryReports.java
+++ b/serving/src/main/java/org/hallwall/serving/control/EntryReports.java
@@ -25,39 +25,39 @@
 import org.hallwall.core.time.RecentPeak;
 import org.hallwall.core.time.Ticker;
 
-/** What entries tell one control instance with their polls: that they are there, and their streams in progress. */
+/** Tracks the entries that poll this control instance, and their streams in progress. */
 public final class EntryReports {
 
-    /** How long an entry counts after its last poll, in milliseconds: several polls. */
-    private static final long ENTRY_MILLIS = 3_000;
+    /** The time after its last poll for which an entry is counted, in milliseconds: several polls. */
+    private static final long EXPIRY_MILLIS = 3_000;
 
     /**
-     * How long the highest count is remembered, in milliseconds: longer than a failure domain usually stays cut off. Meanwhile either
-     * side counts the other, and entries that have left for good leave a part of what is shared unused.
+     * The window of the peak count, in milliseconds: longer than a failure domain is usually partitioned. Within it each side of a
+     * partition still counts the entries of the other side; the shares of entries that have been removed stay unused.
      */
-    private static final long PEAK_MILLIS = 3_600_000;
+    private static final long PEAK_WINDOW_MILLIS = 3_600_000;
 
     private final Ticker ticker;
-    private final long knowsFrom;
+    private final long completeFrom;
     private final RecentPeak peak;
     private final Map<InstanceId, Report> reports = new HashMap<>();
 
     /**
-     * Creates it; no entry is known.
+     * Creates the reports without entries.
      *
-     * @param firstStart whether the whole system starts for the first time, so that no entry serves that has not polled yet
+     * @param firstStart whether the whole system starts for the first time, so that no other entry is serving
      * @param ticker the clock
      */
     public EntryReports(boolean firstStart, Ticker ticker) {
         this.ticker = ticker;
-        this.knowsFrom = ticker.millis() + (firstStart ? 0 : ENTRY_MILLIS);
-        this.peak = new RecentPeak(PEAK_MILLIS, ticker);
+        this.completeFrom = ticker.millis() + (firstStart ? 0 : EXPIRY_MILLIS);
+        this.peak = new RecentPeak(PEAK_WINDOW_MILLIS, ticker);
     }
 
     /**
-     * Notes a poll.
+     * Records a poll.
      *
-     * @param entry who polls
+     * @param entry the polling entry
      * @param streams its streams in progress by model
      */
     public synchronized void take(InstanceId entry, Map<String, Integer> streams) {
@@ -66,27 +66,27 @@
     }
 
     /**
-     * Counts the entries that have polled lately.
+     * Returns the number of entries that have polled recently.
      *
-     * @return how many
+     * @return the number of entries
      */
     public synchronized int count() {
-        forget();
+        removeExpired();
         return reports.size();
     }
 
     /**
-     * Tells by how many entries at most a bound of the whole system is shared.
+     * Returns the number of entries that may share a system-wide limit.
      *
-     * @return the highest count lately; zero as long as not every entry has had the time to poll since the start
+     * @return the recent peak count; zero until every entry has had time to poll after the start
      */
     public synchronized int most() {
-        return ticker.millis() < knowsFrom ? 0 : peak.highest();
+        return ticker.millis() < completeFrom ? 0 : peak.highest();
     }
 
-    /** Sums the streams in progress of all entries by model. */
+    /** Returns the streams in progress of all entries, by model. */
     synchronized Map<String, Integer> streams() {
-        forget();
+        removeExpired();
         Map<String, Integer> out = new HashMap<>();
         for (Report r : reports.values()) {
             r.streams().forEach((model, n) -> out.merge(model, n, Integer::sum));
@@ -94,10 +94,10 @@
         return out;
     }
 
-    private void forget() {
+    private void removeExpired() {
         long now = ticker.millis();
-        reports.values().removeIf(r -> now - r.at() > ENTRY_MILLIS);
+        reports.values().removeIf(r -> now - r.receivedAt() > EXPIRY_MILLIS);
     }
 
-    private record Report(long at, Map<String, Integer> streams) {}
+    private record Report(long receivedAt, Map<String, Integer> streams) {}
 }
--- a/serving/src/main/java/org/hallwall/serving/control/LoadLedger.java
+++ b/serving/src/main/java/org/hallwall/serving/control/LoadSummary.java
@@ -24,30 +24,30 @@
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.time.Ticker;
 
-/** Sums what entries report of their requests in progress, by target. */
-final class LoadLedger {
+/** Sums the requests in progress that entries report, by target. */
+final class LoadSummary {
 
-    /** How long a report counts, in milliseconds: a few times the longest pause between two of an entry. */
-    private static final long REPORT_MILLIS = 1_500;
+    /** The expiry of a report, in milliseconds: several times the longest report interval. */
+    private static final long EXPIRY_MILLIS = 1_500;
 
     private final Ticker ticker;
     private final Map<InstanceId, Report> reports = new HashMap<>();
 
-    LoadLedger(Ticker ticker) {
+    LoadSummary(Ticker ticker) {
         this.ticker = ticker;
     }
 
     /**
-     * Takes a report.
+     * Records a report.
      *
-     * @param entry who reports
+     * @param entry the reporting entry
      * @param running its requests in progress by target
-     * @return those of all entries, this one included
+     * @return the sums over all entries, including this one
      */
-    synchronized Map<String, Integer> take(InstanceId entry, Map<String, Integer> running) {
+    synchronized Map<String, Integer> update(InstanceId entry, Map<String, Integer> running) {
         long now = ticker.millis();
         reports.put(entry, new Report(now, running == null ? Map.of() : running));
-        reports.values().removeIf(r -> now - r.at() > REPORT_MILLIS);
+        reports.values().removeIf(r -> now - r.receivedAt() > EXPIRY_MILLIS);
         Map<String, Integer> out = new HashMap<>();
         for (Report r : reports.values()) {
             r.running().forEach((target, n) -> out.merge(target, n, Integer::sum));
@@ -55,5 +55,5 @@
         return out;
     }
 
-    private record Report(long at, Map<String, Integer> running) {}
+    private record Report(long receivedAt, Map<String, Integer> running) {}
 }
--- a/serving/src/main/java/org/hallwall/serving/control/PackedBytes.java
+++ b/serving/src/main/java/org/hallwall/serving/control/PackedBytes.java
@@ -24,7 +24,7 @@
 import java.util.zip.GZIPInputStream;
 import java.util.zip.GZIPOutputStream;
 
-/** Compresses configurations; they are large and repeat themselves. */
+/** Compression of configurations, which are large and repetitive. */
 public final class PackedBytes {
 
     private PackedBytes() {}
@@ -40,20 +40,20 @@
         try (GZIPOutputStream zip = new GZIPOutputStream(out)) {
             zip.write(bytes);
         } catch (IOException e) {
-            throw new IllegalStateException("memory cannot be written", e);
+            throw new IllegalStateException("cannot compress into memory", e);
         }
         return out.toByteArray();
     }
 
     /**
-     * Expands compressed bytes.
+     * Decompresses bytes.
      *
-     * @param packed the compressed bytes
+     * @param compressed the compressed bytes
      * @return the bytes
-     * @throws IOException if they are damaged
+     * @throws IOException if they are corrupt
      */
-    public static byte[] unpack(byte[] packed) throws IOException {
-        try (GZIPInputStream zip = new GZIPInputStream(new ByteArrayInputStream(packed))) {
+    public static byte[] unpack(byte[] compressed) throws IOException {
+        try (GZIPInputStream zip = new GZIPInputStream(new ByteArrayInputStream(compressed))) {
             return zip.readAllBytes();
         }
     }
--- a/serving/src/main/java/org/hallwall/serving/control/package-info.java
+++ b/serving/src/main/java/org/hallwall/serving/control/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** The control side: the replicated configuration and the feed to the entries. */
+/** The control instances: the replicated configuration, the membership and the feed to the entries. */
 package org.hallwall.serving.control;
--- a/serving/src/test/java/org/hallwall/serving/control/ConfigurationMachineTest.java
+++ b/serving/src/test/java/org/hallwall/serving/control/ConfigurationStateMachineTest.java
@@ -25,39 +25,40 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The highest version wins and its bytes are never altered. */
-class ConfigurationMachineTest {
+/** Tests that the highest version wins and that its bytes are kept unchanged. */
+class ConfigurationStateMachineTest {
 
     private static byte[] command(long version, String text) {
-        return ConfigurationMachine.command(version, PackedBytes.pack(text.getBytes(StandardCharsets.UTF_8)));
+        return ConfigurationStateMachine.command(version, PackedBytes.pack(text.getBytes(StandardCharsets.UTF_8)));
     }
 
     @ParameterizedTest
     @CsvSource({"7, 9, nine, 2", "7, 7, seven, 1", "7, 3, seven, 1"})
     void theHighestVersionWins(long first, long second, String expected, int changes) throws Exception {
-        AtomicInteger told = new AtomicInteger();
-        ConfigurationMachine machine = new ConfigurationMachine(told::incrementAndGet);
+        AtomicInteger notifications = new AtomicInteger();
+        ConfigurationStateMachine machine = new ConfigurationStateMachine(notifications::incrementAndGet);
         machine.apply(1, command(first, "seven"));
-        Object held = machine.apply(2, command(second, second == first ? "other" : "nine"));
-        Assertions.assertEquals(Math.max(first, second), held);
+        Object version = machine.apply(2, command(second, second == first ? "other" : "nine"));
+        Assertions.assertEquals(Math.max(first, second), version);
         Assertions.assertEquals(expected, text(machine));
-        Assertions.assertEquals(changes, told.get());
+        Assertions.assertEquals(changes, notifications.get());
     }
 
     @ParameterizedTest
     @CsvSource({"0", "5"})
     void aSnapshotRestoresTheState(long version) throws Exception {
-        ConfigurationMachine machine = new ConfigurationMachine(() -> {});
+        ConfigurationStateMachine machine = new ConfigurationStateMachine(() -> {});
         if (version > 0) {
             machine.apply(1, command(version, "content"));
         }
-        ConfigurationMachine restored = new ConfigurationMachine(() -> {});
+        ConfigurationStateMachine restored = new ConfigurationStateMachine(() -> {});
         restored.restore(1, machine.snapshot());
-        Assertions.assertEquals(version, restored.held().version());
-        Assertions.assertArrayEquals(machine.held().packed(), restored.held().packed());
+        Assertions.assertEquals(version, restored.current().version());
+        Assertions.assertArrayEquals(
+                machine.current().compressed(), restored.current().compressed());
     }
 
-    private static String text(ConfigurationMachine machine) throws Exception {
-        return new String(PackedBytes.unpack(machine.held().packed()), StandardCharsets.UTF_8);
+    private static String text(ConfigurationStateMachine machine) throws Exception {
+        return new String(PackedBytes.unpack(machine.current().compressed()), StandardCharsets.UTF_8);
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/control/ControlFixture.java
+++ b/serving/src/test/java/org/hallwall/serving/control/ControlFixture.java
@@ -44,11 +44,11 @@
 import org.hallwall.serving.target.GroupMark;
 import org.hallwall.serving.target.TargetRecord;
 
-/** One control instance that controls the groups, a store that serves two loads at once, and engines that are only announced. */
+/** A single control instance that leads, a weight store with two concurrent loads, and engines that exist as announcements only. */
 final class ControlFixture implements Closeable {
 
-    static final Duration WITHIN = Duration.ofSeconds(10);
-    /** Longer than a test: no target is taken for silent. */
+    static final Duration TIMEOUT = Duration.ofSeconds(10);
+    /** Longer than a test, so that no target becomes silent. */
     private static final long HEARTBEAT_MILLIS = 60_000;
 
     private final ControlNode node;
@@ -76,8 +76,8 @@
                 new PermitLedger(Ticker.SYSTEM, 0));
         node.start(gateway);
         Awaitility.await()
-                .atMost(WITHIN)
-                .until(() -> node.service().put(new byte[] {1}).block(WITHIN) instanceof ConfigurationReply.Accepted);
+                .atMost(TIMEOUT)
+                .until(() -> node.service().put(new byte[] {1}).block(TIMEOUT) instanceof ConfigurationReply.Accepted);
     }
 
     private static int freePort() throws IOException {
--- a/serving/src/test/java/org/hallwall/serving/control/ControlMembersTest.java
+++ b/serving/src/test/java/org/hallwall/serving/control/ControlMembersTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The list of control instances lies beside the log. */
+/** Tests the stored list of control instances. */
 class ControlMembersTest {
 
     @TempDir
@@ -42,19 +42,19 @@
     }
 
     @Test
-    void aFormedFolderKeepsTheListAndCounts() throws Exception {
+    void anInitializedFolderHasTheListAndIsAdmitted() throws Exception {
         List<ControlMember> seeds = List.of(member(1), member(2), member(3));
         ControlMembers members = new ControlMembers(folder);
-        members.form(seeds);
-        Assertions.assertEquals(seeds, members.stored());
+        members.initialize(seeds);
+        Assertions.assertEquals(seeds, members.load());
         try (LogStore store = LogStore.open(folder)) {
             Assertions.assertTrue(store.stored().folder().admitted());
         }
     }
 
     @Test
-    void anEmptyFileMeansThatTheSeedsAreAsked() throws Exception {
+    void anEmptyFileIsReadAsNoMembers() throws Exception {
         Files.createFile(folder.resolve("members.json"));
-        Assertions.assertTrue(new ControlMembers(folder).stored().isEmpty());
+        Assertions.assertTrue(new ControlMembers(folder).load().isEmpty());
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/control/ControlNodeTest.java
+++ b/serving/src/test/java/org/hallwall/serving/control/ControlNodeTest.java
@@ -56,14 +56,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import reactor.core.publisher.Mono;
 
-/** Control instances on several loopback addresses: what was accepted stays, whoever is lost or replaced. */
+/** Tests that accepted configurations survive the loss and replacement of control instances, on several loopback addresses. */
 class ControlNodeTest {
 
-    private static final Duration WITHIN = Duration.ofSeconds(30);
-    /** Shorter than the time after which a restarted instance is held to the rules of a sound one. */
-    private static final Duration SOON = Duration.ofMillis(2_500);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
+    /** Shorter than the time after which a restarted instance counts as a regular voter. */
+    private static final Duration REJOIN_TIMEOUT = Duration.ofMillis(2_500);
 
-    private static final TargetGateway NOBODY = new TargetGateway() {
+    private static final TargetGateway NO_TARGETS = new TargetGateway() {
         @Override
         public Mono<OrderOutcome> order(TargetRecord t, TargetOrder o, long token, Duration timeout) {
             return Mono.just(OrderOutcome.UNKNOWN);
@@ -120,7 +120,7 @@
                 new ControllerTiming(1_000, 1_000, firstStart, 0),
                 Mechanisms.ALL);
         ControlNode node = new ControlNode(settings, ControlNodeTest::read, new PermitLedger(Ticker.SYSTEM, 0));
-        node.start(NOBODY);
+        node.start(NO_TARGETS);
         nodes.put(n, node);
     }
 
@@ -140,13 +140,13 @@
 
     private ConfigurationReply put(ControlNode node, String text) {
         ConfigurationService s = node.service();
-        return s == null ? null : s.put(text.getBytes(StandardCharsets.UTF_8)).block(WITHIN);
+        return s == null ? null : s.put(text.getBytes(StandardCharsets.UTF_8)).block(TIMEOUT);
     }
 
-    /** Sends to all in turn until one accepts, as an operator does. */
+    /** Sends the configuration to all instances in turn until one accepts it. */
     private void accept(String text) {
         Awaitility.await()
-                .atMost(WITHIN)
+                .atMost(TIMEOUT)
                 .until(() ->
                         nodes.values().stream().anyMatch(n -> put(n, text) instanceof ConfigurationReply.Accepted));
     }
@@ -154,7 +154,7 @@
     private String readBack() {
         for (ControlNode n : nodes.values()) {
             ConfigurationReply r =
-                    n.service() == null ? null : n.service().get().block(WITHIN);
+                    n.service() == null ? null : n.service().get().block(TIMEOUT);
             if (r instanceof ConfigurationReply.Content c) {
                 return new String(c.bytes(), StandardCharsets.UTF_8);
             }
@@ -163,17 +163,17 @@
     }
 
     private void awaitReadBack(String text) {
-        Awaitility.await().atMost(WITHIN).until(() -> text.equals(readBack()));
+        Awaitility.await().atMost(TIMEOUT).until(() -> text.equals(readBack()));
     }
 
     @Test
-    void theHighestVersionIsInForceAndFollowersPointToTheLeader() {
+    void theHighestVersionIsCurrentAndFollowersRedirectToTheLeader() {
         accept("5 five");
         accept("3 three");
         accept("5 other");
         awaitReadBack("5 five");
         Awaitility.await()
-                .atMost(WITHIN)
+                .atMost(TIMEOUT)
                 .until(() -> nodes.values().stream()
                                 .filter(n -> put(n, "6 six") instanceof ConfigurationReply.Elsewhere)
                                 .count()
@@ -183,7 +183,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"x", ""})
-    void whatIsInvalidIsRefusedByAll(String text) {
+    void invalidConfigurationsAreRejectedByAll(String text) {
         accept("1 one");
         for (ControlNode n : nodes.values()) {
             Assertions.assertInstanceOf(ConfigurationReply.Invalid.class, put(n, text));
@@ -193,18 +193,18 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3})
-    void aBlankDiskAtAnOldAddressLosesNothing(int lost) throws IOException {
+    void aBlankDiskAtAnExistingAddressLosesNothing(int lost) throws IOException {
         accept("7 seven");
         close(lost);
         open(lost, "blank", false);
         awaitReadBack("7 seven");
         accept("8 eight");
         Awaitility.await()
-                .atMost(WITHIN)
+                .atMost(TIMEOUT)
                 .until(() -> nodes.get(lost).voter().state().role() != LogRole.RECOVERING);
         int another = lost % 3 + 1;
         close(another);
-        // the blank one must have been admitted, or there is no quorum
+        // there is a quorum only if the blank instance was admitted
         accept("9 nine");
         awaitReadBack("9 nine");
     }
@@ -222,14 +222,14 @@
     }
 
     @Test
-    void aBlankInstanceAtANewAddressReplacesOneThatIsGone() throws IOException {
+    void aBlankInstanceAtANewAddressReplacesALostOne() throws IOException {
         accept("7 seven");
         close(1);
         open(4, "disk", false);
         List<InstanceId> expected =
                 List.of(member(2).instance(), member(3).instance(), member(4).instance());
         Awaitility.await()
-                .atMost(WITHIN)
+                .atMost(TIMEOUT)
                 .until(() -> nodes.values().stream()
                         .allMatch(n -> n.voter().state().voters().equals(expected)));
         close(2);
@@ -237,19 +237,19 @@
         awaitReadBack("8 eight");
     }
 
-    /** Three seeds are all that anyone knows at first; two disks of six may be lost in the same moment as all power. */
+    /** All six instances become voters although only three are seeds, so that two disks may be lost along with a power failure. */
     @Test
-    void withTwoDisksToLoseAllInstancesBecomeVoters() throws IOException {
+    void allInstancesBecomeVotersIfTwoDiskLossesAreTolerated() throws IOException {
         disksLost = 2;
-        // all of the set-up's fleet end first: a blank instance that starts beside it may take its entries, and then
-        // none of the new log's
+        // stop the instances of the set-up first: a blank instance that starts while they run may replicate their log
+        // and would then reject the new one
         for (int n = 1; n <= 3; n++) {
             close(n);
         }
         for (int n = 1; n <= 6; n++) {
             open(n, "two", true);
         }
-        Awaitility.await().atMost(WITHIN).until(() -> nodes.values().stream().allMatch(ControlNode::isMember));
+        Awaitility.await().atMost(TIMEOUT).until(() -> nodes.values().stream().allMatch(ControlNode::isMember));
         accept("7 seven");
         for (int n = 1; n <= 6; n++) {
             close(n);
@@ -261,29 +261,29 @@
         accept("8 eight");
     }
 
-    /** It was away for so long that its place was taken: what is announced to it until it counts again would reach nobody. */
+    /** A restarted instance that was replaced must not accept announcements, which would reach no entry. */
     @Test
-    void oneThatWasReplacedWhileItWasAwayKnowsSoon() throws IOException {
+    void aReplacedInstanceDetectsItSoonAfterARestart() throws IOException {
         accept("7 seven");
         close(1);
         open(4, "disk", false);
-        Awaitility.await().atMost(WITHIN).until(nodes.get(4)::isMember);
+        Awaitility.await().atMost(TIMEOUT).until(nodes.get(4)::isMember);
         Awaitility.await()
-                .atMost(WITHIN)
+                .atMost(TIMEOUT)
                 .until(() -> !nodes.get(2)
                         .voter()
                         .state()
                         .voters()
                         .contains(member(1).instance()));
         open(1, "disk", false);
-        Awaitility.await().atMost(SOON).until(() -> !nodes.get(1).isMember());
-        Awaitility.await().atMost(WITHIN).until(nodes.get(1)::isMember);
+        Awaitility.await().atMost(REJOIN_TIMEOUT).until(() -> !nodes.get(1).isMember());
+        Awaitility.await().atMost(TIMEOUT).until(nodes.get(1)::isMember);
     }
 
     @Test
     void oneInstanceSumsTheLoadOfAllEntries() {
         accept("7 seven");
-        Awaitility.await().atMost(WITHIN).until(() -> {
+        Awaitility.await().atMost(TIMEOUT).until(() -> {
             Map<String, Integer> sums = new HashMap<>();
             for (int entry = 1; entry <= 2; entry++) {
                 for (int n = 1; n <= 3; n++) {
@@ -297,15 +297,15 @@
     private Map<String, Integer> report(String entry, int n, Map<String, Integer> running) {
         PeerCodec codec = new PeerCodec(ControlNode.kinds());
         try (PeerLink link = new PeerLink(member(n).peer(), "test", new InstanceId(entry), codec)) {
-            Awaitility.await().atMost(WITHIN).until(link::isUp);
+            Awaitility.await().atMost(TIMEOUT).until(link::isUp);
             FeedMessage.LoadSums sums = (FeedMessage.LoadSums)
-                    link.call(new FeedMessage.LoadReport(running), WITHIN).block(WITHIN);
+                    link.call(new FeedMessage.LoadReport(running), TIMEOUT).block(TIMEOUT);
             return sums.controls() ? sums.running() : Map.of();
         }
     }
 
     @Test
-    void oneThatDoesNotCountAnswersNobody() throws IOException {
+    void anInstanceThatIsNoVoterHasNoService() throws IOException {
         accept("7 seven");
         open(4, "disk", false);
         Assertions.assertNull(nodes.get(4).isMember() ? null : nodes.get(4).service());
--- a/serving/src/test/java/org/hallwall/serving/control/ControlMachineTest.java
+++ b/serving/src/test/java/org/hallwall/serving/control/ControlStateMachineTest.java
@@ -31,78 +31,78 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** One log for the configuration and for requests that end targets: neither disturbs the other, and logs without the latter are read. */
-class ControlMachineTest {
+/** Tests that configuration and crash ledger share a log independently, and that logs without a ledger can be read. */
+class ControlStateMachineTest {
 
-    private static final byte[] PACKED = "packed".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] COMPRESSED = "packed".getBytes(StandardCharsets.UTF_8);
 
-    private final AtomicInteger told = new AtomicInteger();
-    private ConfigurationMachine configuration;
+    private final AtomicInteger notifications = new AtomicInteger();
+    private ConfigurationStateMachine configuration;
     private CrashLedger ledger;
-    private ControlMachine machine;
+    private ControlStateMachine machine;
 
     @BeforeEach
-    void startAgain() {
-        configuration = new ConfigurationMachine(() -> {});
+    void createEmpty() {
+        configuration = new ConfigurationStateMachine(() -> {});
         ledger = new CrashLedger();
-        machine = new ControlMachine(configuration, ledger, told::incrementAndGet);
+        machine = new ControlStateMachine(configuration, ledger, notifications::incrementAndGet);
     }
 
-    private void hold() {
+    private void holdBackRequest() {
         for (int i = 0; i < 3; i++) {
             EndedTarget e = new EndedTarget(new InstanceId("t-" + i), List.of(new RequestDigest("d")));
-            machine.apply(i + 1, ControlMachine.command(CrashCommand.seen(1, List.of(e), List.of())));
+            machine.apply(i + 1, ControlStateMachine.command(CrashCommand.seen(1, List.of(e), List.of())));
         }
     }
 
     private void restart() {
         byte[] snapshot = machine.snapshot();
-        startAgain();
+        createEmpty();
         machine.restore(9, snapshot);
     }
 
     @Test
-    void bothAreRestored() {
-        machine.apply(1, ConfigurationMachine.command(7, PACKED));
-        hold();
+    void configurationAndLedgerAreRestored() {
+        machine.apply(1, ConfigurationStateMachine.command(7, COMPRESSED));
+        holdBackRequest();
         restart();
-        Assertions.assertEquals(7, configuration.held().version());
-        Assertions.assertArrayEquals(PACKED, configuration.held().packed());
+        Assertions.assertEquals(7, configuration.current().version());
+        Assertions.assertArrayEquals(COMPRESSED, configuration.current().compressed());
         Assertions.assertEquals(1, ledger.held().size());
     }
 
     @Test
-    void requestsAreRestoredWithoutAConfiguration() {
-        hold();
+    void theLedgerIsRestoredWithoutAConfiguration() {
+        holdBackRequest();
         restart();
-        Assertions.assertEquals(0, configuration.held().version());
+        Assertions.assertEquals(0, configuration.current().version());
         Assertions.assertEquals(1, ledger.held().size());
     }
 
-    /** A snapshot of an earlier version of the programs is one of the configuration alone. */
+    /** Guards the format of earlier versions, whose snapshots contain the configuration only. */
     @Test
     void aSnapshotOfTheConfigurationAloneIsRead() {
-        ConfigurationMachine alone = new ConfigurationMachine(() -> {});
-        alone.apply(1, ConfigurationMachine.command(7, PACKED));
+        ConfigurationStateMachine alone = new ConfigurationStateMachine(() -> {});
+        alone.apply(1, ConfigurationStateMachine.command(7, COMPRESSED));
         machine.restore(1, alone.snapshot());
-        Assertions.assertEquals(7, configuration.held().version());
+        Assertions.assertEquals(7, configuration.current().version());
         Assertions.assertEquals(0, ledger.version());
     }
 
     @Test
-    void anEmptySnapshotIsTheBeginning() {
+    void anEmptySnapshotRestoresTheInitialState() {
         machine.restore(0, new byte[0]);
-        Assertions.assertEquals(0, configuration.held().version());
+        Assertions.assertEquals(0, configuration.current().version());
         Assertions.assertEquals(0, machine.snapshot().length);
     }
 
     @Test
-    void onlyChangesOfTheRequestsAreTold() {
-        hold();
-        int before = told.get();
-        machine.apply(4, ConfigurationMachine.command(7, PACKED));
+    void onlyChangesOfTheLedgerAreNotified() {
+        holdBackRequest();
+        int before = notifications.get();
+        machine.apply(4, ConfigurationStateMachine.command(7, COMPRESSED));
         EndedTarget known = new EndedTarget(new InstanceId("t-1"), List.of(new RequestDigest("d")));
-        machine.apply(5, ControlMachine.command(CrashCommand.seen(1, List.of(known), List.of())));
-        Assertions.assertEquals(before, told.get());
+        machine.apply(5, ControlStateMachine.command(CrashCommand.seen(1, List.of(known), List.of())));
+        Assertions.assertEquals(before, notifications.get());
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/control/LoadLedgerTest.java
+++ b/serving/src/test/java/org/hallwall/serving/control/LoadSummaryTest.java
@@ -24,27 +24,27 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** The sums hold what each entry reported last, and nothing of entries that have fallen silent. */
-class LoadLedgerTest {
+/** Tests that the sums contain the last report of each entry, without expired reports. */
+class LoadSummaryTest {
 
     private long now = 1_000;
-    private final LoadLedger ledger = new LoadLedger(() -> now);
+    private final LoadSummary summary = new LoadSummary(() -> now);
 
-    private Map<String, Integer> take(String entry, Map<String, Integer> running) {
-        return ledger.take(new InstanceId(entry), running);
+    private Map<String, Integer> report(String entry, Map<String, Integer> running) {
+        return summary.update(new InstanceId(entry), running);
     }
 
     @Test
     void sumsTheLastReportOfEachEntry() {
-        take("e1", Map.of("h1", 3, "h2", 1));
-        take("e2", Map.of("h1", 4));
-        Assertions.assertEquals(Map.of("h1", 5, "h3", 2), take("e1", Map.of("h1", 1, "h3", 2)));
+        report("e1", Map.of("h1", 3, "h2", 1));
+        report("e2", Map.of("h1", 4));
+        Assertions.assertEquals(Map.of("h1", 5, "h3", 2), report("e1", Map.of("h1", 1, "h3", 2)));
     }
 
     @Test
-    void forgetsEntriesThatAreSilent() {
-        take("e1", Map.of("h1", 3));
+    void dropsExpiredReports() {
+        report("e1", Map.of("h1", 3));
         now += 2_000;
-        Assertions.assertEquals(Map.of("h1", 4), take("e2", Map.of("h1", 4)));
+        Assertions.assertEquals(Map.of("h1", 4), report("e2", Map.of("h1", 4)));
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/control/RepeatedOrderTest.java
+++ b/serving/src/test/java/org/hallwall/serving/control/RepeatedOrderTest.java
@@ -38,23 +38,20 @@
 import org.junit.jupiter.api.io.TempDir;
 import reactor.core.publisher.Mono;
 
-/**
- * An engine may be due two orders at a time: to open its group, and to load a second model. Only the last one given was remembered,
- * so they were given in turns, some hundred times a second, until the engine's connections were all in use and it was held for dead.
- */
+/** Guards against two orders for one engine, to open its group and to stage a model, that replace each other and are resent forever. */
 class RepeatedOrderTest {
 
-    /** What may be given in two seconds: each of two orders, and again after it was taken and nothing was seen of it. */
-    private static final int MOST = 8;
+    /** The maximum number of orders in two seconds: two orders and their retries. */
+    private static final int MAX_ORDERS = 8;
 
     @TempDir
     private Path folder;
 
-    private final Queue<TargetOrder> given = new ConcurrentLinkedQueue<>();
+    private final Queue<TargetOrder> sentOrders = new ConcurrentLinkedQueue<>();
     private final TargetGateway gateway = new TargetGateway() {
         @Override
         public Mono<OrderOutcome> order(TargetRecord t, TargetOrder o, long token, Duration timeout) {
-            given.add(o);
+            sentOrders.add(o);
             return Mono.just(OrderOutcome.TAKEN);
         }
 
@@ -65,23 +62,23 @@
     };
 
     @Test
-    void twoOrdersForOneEngineAreGivenOnceEach() throws IOException {
+    void twoOrdersForOneEngineAreSentOnceEach() throws IOException {
         List<EngineModel> models =
                 List.of(new EngineModel("one", 1, 0.5, 1, 16, 1.6), new EngineModel("two", 1, 0.5, 1, 16, 1.6));
         try (ControlFixture control = new ControlFixture(folder, models, gateway)) {
             control.announce(1, 1, "one", List.of("one"), new GroupMark("g1", 1, 0, GroupState.READY));
             Awaitility.await()
-                    .atMost(ControlFixture.WITHIN)
-                    .until(() -> has(TargetOrder.Open.class) && has(TargetOrder.Stage.class));
+                    .atMost(ControlFixture.TIMEOUT)
+                    .until(() -> wasSent(TargetOrder.Open.class) && wasSent(TargetOrder.Stage.class));
             Awaitility.await()
                     .during(Duration.ofSeconds(2))
-                    .atMost(ControlFixture.WITHIN)
-                    .until(() -> given.size() <= MOST);
+                    .atMost(ControlFixture.TIMEOUT)
+                    .until(() -> sentOrders.size() <= MAX_ORDERS);
         }
-        Assertions.assertTrue(given.size() <= MOST, given.size() + " orders");
+        Assertions.assertTrue(sentOrders.size() <= MAX_ORDERS, sentOrders.size() + " orders");
     }
 
-    private boolean has(Class<? extends TargetOrder> type) {
-        return given.stream().anyMatch(type::isInstance);
+    private boolean wasSent(Class<? extends TargetOrder> type) {
+        return sentOrders.stream().anyMatch(type::isInstance);
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/control/SuspendedLeaderTest.java
+++ b/serving/src/test/java/org/hallwall/serving/control/SuspendedLeaderTest.java
@@ -45,14 +45,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The machine of the leader is suspended for seconds, in which its steady clock stands still. The others elect another leader, which
- * accepts a change. By its own clock the first one still holds its lease when it runs again, and answers before it hears of the other:
- * an operator that reads there must not be shown what was in force before.
+ * Guards against stale reads from a leader whose machine was suspended: by its clock it still holds the lease although another leader
+ * has been elected and has accepted a change.
  */
 class SuspendedLeaderTest {
 
     private static final int VOTERS = 3;
-    private static final int WITHIN_SECONDS = 20;
+    private static final int TIMEOUT_SECONDS = 20;
 
     private final List<Node> nodes = new ArrayList<>();
 
@@ -75,7 +74,7 @@
 
     private Node leaderAmong(List<Node> some) {
         return Awaitility.await()
-                .atMost(WITHIN_SECONDS, TimeUnit.SECONDS)
+                .atMost(TIMEOUT_SECONDS, TimeUnit.SECONDS)
                 .until(
                         () -> some.stream()
                                 .filter(n -> n.voter.holdsLease())
@@ -93,33 +92,36 @@
         return Long.toString(version).getBytes(StandardCharsets.UTF_8);
     }
 
-    private static long shown(ConfigurationReply r) {
+    private static long versionOf(ConfigurationReply r) {
         return r instanceof ConfigurationReply.Content c
                 ? Long.parseLong(new String(c.bytes(), StandardCharsets.UTF_8))
                 : 0;
     }
 
     @Test
-    void aLeaderThatWasSuspendedDoesNotShowAnOldConfiguration() {
+    void aSuspendedLeaderServesNoStaleConfiguration() {
         Node first = leaderAmong(nodes);
         accept(first, 1);
-        Assertions.assertEquals(1, shown(first.service.get().block()));
+        Assertions.assertEquals(1, versionOf(first.service.get().block()));
         first.suspended = true;
-        first.stoodAt = Ticker.SYSTEM.millis();
+        first.stoppedAt = Ticker.SYSTEM.millis();
 
         List<Node> others = nodes.stream().filter(n -> n != first).toList();
         accept(leaderAmong(others), 2);
 
-        Assertions.assertEquals(LogRole.LEADER, first.voter.state().role(), "it has not heard of the other");
-        Assertions.assertEquals(0, shown(first.service.get().block()), "read at the first leader");
+        Assertions.assertEquals(
+                LogRole.LEADER, first.voter.state().role(), "the first leader does not know the second one yet");
+        Assertions.assertEquals(0, versionOf(first.service.get().block()), "stale read from the first leader");
         Assertions.assertNotEquals(
-                new ConfigurationReply.Accepted(1), first.service.put(bytes(1)).block(), "what it has already");
+                new ConfigurationReply.Accepted(1),
+                first.service.put(bytes(1)).block(),
+                "version that the first leader already has");
 
         first.suspended = false;
         Awaitility.await()
-                .atMost(WITHIN_SECONDS, TimeUnit.SECONDS)
+                .atMost(TIMEOUT_SECONDS, TimeUnit.SECONDS)
                 .until(() -> first.service.get().block() instanceof ConfigurationReply.Elsewhere);
-        Assertions.assertEquals(2, shown(leaderAmong(others).service.get().block()));
+        Assertions.assertEquals(2, versionOf(leaderAmong(others).service.get().block()));
     }
 
     private final class Node {
@@ -127,11 +129,11 @@
         private final LogVoter voter;
         private final ConfigurationService service;
         private volatile boolean suspended;
-        private volatile long stoodAt;
+        private volatile long stoppedAt;
 
         Node(InstanceId id, List<InstanceId> ids, Path disk) throws Exception {
             LogStore.form(disk);
-            ConfigurationMachine machine = new ConfigurationMachine(() -> {});
+            ConfigurationStateMachine machine = new ConfigurationStateMachine(() -> {});
             voter = new LogVoter(
                     new LogSeat(id, ids, LogTiming.DEFAULT),
                     LogStore.open(disk),
@@ -144,9 +146,9 @@
                     id, voter, machine, SuspendedLeaderTest::read, other -> new NetAddress("127.0.0.1", 9));
         }
 
-        /** It goes on from where it stood: the time that it was suspended is lost to it for good. */
+        /** Returns the monotonic clock, which stops for good at the suspension. */
         private long clock() {
-            return stoodAt == 0 ? Ticker.SYSTEM.millis() : stoodAt;
+            return stoppedAt == 0 ? Ticker.SYSTEM.millis() : stoppedAt;
         }
 
         private void send(InstanceId to, LogMessage message) {
--- a/serving/src/test/java/org/hallwall/serving/control/UnansweredOrderTest.java
+++ b/serving/src/test/java/org/hallwall/serving/control/UnansweredOrderTest.java
@@ -40,23 +40,23 @@
 import org.junit.jupiter.api.io.TempDir;
 import reactor.core.publisher.Mono;
 
-/** Targets that are dead, and not known to be, neither keep the places of loads nor get orders for long. */
+/** Guards against undetected dead targets that occupy load capacity or keep receiving orders. */
 class UnansweredOrderTest {
 
-    private static final Duration WITHIN = ControlFixture.WITHIN;
+    private static final Duration TIMEOUT = ControlFixture.TIMEOUT;
 
     private static final Set<InstanceId> DEAD = Set.of(new InstanceId("i-1"), new InstanceId("i-2"));
 
     @TempDir
     private Path folder;
 
-    private final Queue<InstanceId> taken = new ConcurrentLinkedQueue<>();
+    private final Queue<InstanceId> accepted = new ConcurrentLinkedQueue<>();
     private final Queue<InstanceId> unanswered = new ConcurrentLinkedQueue<>();
     private final TargetGateway gateway = new TargetGateway() {
         @Override
         public Mono<OrderOutcome> order(TargetRecord t, TargetOrder o, long token, Duration timeout) {
             boolean dead = DEAD.contains(t.instance());
-            (dead ? unanswered : taken).add(t.instance());
+            (dead ? unanswered : accepted).add(t.instance());
             return Mono.just(dead ? OrderOutcome.UNKNOWN : OrderOutcome.TAKEN);
         }
 
@@ -67,7 +67,7 @@
     };
     private ControlFixture control;
 
-    /** Four engines, of which two are dead. */
+    /** Announces four engines, of which two are dead. */
     @BeforeEach
     void start() throws IOException {
         control = new ControlFixture(folder, List.of(new EngineModel("big", 4, 1, 1, 16, 1.6)), gateway);
@@ -82,18 +82,18 @@
     }
 
     @Test
-    void aLoadThatIsNotAnsweredKeepsNoPlace() {
-        Awaitility.await().atMost(WITHIN).until(() -> !taken.isEmpty());
+    void anUnansweredLoadOccupiesNoCapacity() {
+        Awaitility.await().atMost(TIMEOUT).until(() -> !accepted.isEmpty());
     }
 
     @Test
-    void aTargetThatAnswersNeitherOrderNorProbeGetsNoMoreOrders() {
-        Awaitility.await().atMost(WITHIN).until(() -> Set.copyOf(unanswered).size() == 2);
+    void anUnresponsiveTargetReceivesNoMoreOrders() {
+        Awaitility.await().atMost(TIMEOUT).until(() -> Set.copyOf(unanswered).size() == 2);
         int orders = unanswered.size();
         Awaitility.await()
                 .during(Duration.ofSeconds(2))
-                .atMost(WITHIN)
+                .atMost(TIMEOUT)
                 .until(() -> unanswered.size() <= orders + DEAD.size());
-        Assertions.assertTrue(Set.copyOf(taken).size() <= 2);
+        Assertions.assertTrue(Set.copyOf(accepted).size() <= 2);
     }
 }
