--- a/serving/src/main/java/org/hallwall/serving/config/CallerLimits.java
+++ b/serving/src/main/java/org/hallwall/serving/config/CallerLimits.java
@@ -19,15 +19,15 @@
 package org.hallwall.serving.config;
 
 /**
- * What callers may send and how long they may rest.
+ * Limits on requests and connections of callers.
  *
- * @param headerBytes the most bytes of a request's head
- * @param bodyBytes the most bytes of a request's body
- * @param headerMillis the longest time to send a head, in milliseconds
- * @param idleMillis the longest time a kept connection rests, in milliseconds
+ * @param headerBytes the maximum size of a request's header section, in bytes
+ * @param bodyBytes the maximum size of a request's body, in bytes
+ * @param headerMillis the timeout for receiving the header section, in milliseconds
+ * @param idleMillis the idle timeout of a persistent connection, in milliseconds
  */
 public record CallerLimits(int headerBytes, int bodyBytes, long headerMillis, long idleMillis) {
 
-    /** The limits before any configuration is known; the figures are those of the platform's example. */
+    /** The limits before a configuration is received; the values of the platform's example. */
     public static final CallerLimits DEFAULT = new CallerLimits(16_384, 4_194_304, 3_000, 15_000);
 }
--- a/serving/src/main/java/org/hallwall/serving/config/Configuration.java
+++ b/serving/src/main/java/org/hallwall/serving/config/Configuration.java
@@ -23,13 +23,13 @@
 import java.util.Map;
 
 /**
- * A whole configuration.
+ * A complete configuration.
  *
  * @param version the operator's version
  * @param routes the routes
  * @param services the services by name
  * @param workspaces the workspaces with their keys
- * @param limits what callers may send
+ * @param limits the limits of callers
  */
 public record Configuration(
         long version,
@@ -38,11 +38,11 @@
         List<WorkspaceKeys> workspaces,
         CallerLimits limits) {
 
-    /** The configuration before the first one arrives. */
+    /** The empty configuration before the first one is received. */
     public static final Configuration NONE = new Configuration(0, List.of(), Map.of(), List.of(), CallerLimits.DEFAULT);
 
     /**
-     * Gives the services that have model engines.
+     * Returns the services that have model engines.
      *
      * @return the services by name
      */
--- a/serving/src/main/java/org/hallwall/serving/config/ConfigurationCheck.java
+++ b/serving/src/main/java/org/hallwall/serving/config/ConfigurationCheck.java
@@ -23,13 +23,13 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Checks a configuration that was read whole; a bad one is refused whole. */
+/** Validates a parsed configuration; an invalid one is rejected as a whole. */
 public final class ConfigurationCheck {
 
     private ConfigurationCheck() {}
 
     /**
-     * Checks a configuration.
+     * Validates a configuration.
      *
      * @param c the configuration
      * @throws ConfigurationException if it is not valid
@@ -43,9 +43,9 @@
     }
 
     private static void checkRoutes(Configuration c) throws ConfigurationException {
-        Set<String> places = new HashSet<>();
+        Set<String> matches = new HashSet<>();
         for (Route r : c.routes()) {
-            if (!places.add(r.host() + " " + r.pathPrefix())) {
+            if (!matches.add(r.host() + " " + r.pathPrefix())) {
                 throw new ConfigurationException("route " + r.name() + " shares host and prefix with another");
             }
             if (r.timeoutMillis() <= 0) {
@@ -57,7 +57,7 @@
 
     private static void checkSplit(Configuration c, Route r) throws ConfigurationException {
         long sum = 0;
-        for (Route.WeightedService s : r.split()) {
+        for (Route.WeightedService s : r.weightedServices()) {
             if (!c.services().containsKey(s.service())) {
                 throw new ConfigurationException("route " + r.name() + " names an unknown service");
             }
--- a/serving/src/main/java/org/hallwall/serving/config/ConfigurationException.java
+++ b/serving/src/main/java/org/hallwall/serving/config/ConfigurationException.java
@@ -18,7 +18,7 @@
  */
 package org.hallwall.serving.config;
 
-/** A configuration that cannot be accepted, with the reason. */
+/** Thrown when a configuration is invalid. */
 public class ConfigurationException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -26,7 +26,7 @@
     /**
      * Creates the exception.
      *
-     * @param message what is wrong and where
+     * @param message the error and its location
      */
     public ConfigurationException(String message) {
         super(message);
@@ -35,7 +35,7 @@
     /**
      * Creates the exception.
      *
-     * @param message what is wrong and where
+     * @param message the error and its location
      * @param cause the cause
      */
     public ConfigurationException(String message, Throwable cause) {
--- a/serving/src/main/java/org/hallwall/serving/config/ConfigurationReader.java
+++ b/serving/src/main/java/org/hallwall/serving/config/ConfigurationReader.java
@@ -18,16 +18,16 @@
  */
 package org.hallwall.serving.config;
 
-/** Reads the operator's bytes; an adapter knows their form. */
+/** Parses the operator's bytes; implemented by an adapter for their format. */
 @FunctionalInterface
 public interface ConfigurationReader {
 
     /**
-     * Reads and checks a configuration.
+     * Parses and validates a configuration.
      *
      * @param bytes the operator's bytes
      * @return the configuration
-     * @throws ConfigurationException if it cannot be read whole or is not valid
+     * @throws ConfigurationException if it cannot be parsed or is not valid
      */
     Configuration read(byte[] bytes) throws ConfigurationException;
 }
--- a/serving/src/main/java/org/hallwall/serving/config/EngineModel.java
+++ b/serving/src/main/java/org/hallwall/serving/config/EngineModel.java
@@ -22,10 +22,10 @@
  * A model that the engines of a service can serve.
  *
  * @param name the model's name
- * @param size how many engines make one replica
- * @param share its part of the work at the start
- * @param pace a factor on all times of a group
- * @param loadSeconds the time of a load from the weight store, in seconds
- * @param warmSeconds the time of a load from the host, in seconds
+ * @param size the number of engines of a group
+ * @param share its declared share of the demand
+ * @param pace a factor on the processing times of a group
+ * @param loadSeconds the duration of a load from the weight store, in seconds
+ * @param warmSeconds the duration of a load from the host, in seconds
  */
 public record EngineModel(String name, int size, double share, double pace, double loadSeconds, double warmSeconds) {}
--- a/serving/src/main/java/org/hallwall/serving/config/EngineSpec.java
+++ b/serving/src/main/java/org/hallwall/serving/config/EngineSpec.java
@@ -21,13 +21,13 @@
 import java.util.List;
 
 /**
- * What is known of the model engines of a service.
+ * The parameters of the model engines of a service.
  *
- * @param slots how many requests a group runs at once
+ * @param slots the number of concurrent requests of a group
  * @param models the models
- * @param loadsPerSecond how many loads from the weight store may begin each second
- * @param loadsAtOnce how many loads run at full speed
- * @param farFactor how much slower a group over several fabric domains runs
+ * @param loadsPerSecond the maximum rate at which loads from the weight store start
+ * @param loadsAtOnce the number of concurrent loads that run at full speed
+ * @param farFactor the factor by which a cross-domain group is slower
  * @param formMillis the time from the order to open until a head serves, in milliseconds
  */
 public record EngineSpec(
@@ -39,10 +39,10 @@
         double formMillis) {
 
     /**
-     * Finds a model.
+     * Returns a model by name.
      *
      * @param name the model's name
-     * @return the model, or null
+     * @return the model, or null if there is none
      */
     public EngineModel model(String name) {
         for (EngineModel m : models) {
--- a/serving/src/main/java/org/hallwall/serving/config/RequestKind.java
+++ b/serving/src/main/java/org/hallwall/serving/config/RequestKind.java
@@ -18,23 +18,23 @@
  */
 package org.hallwall.serving.config;
 
-/** What a route promises about repeating its requests. */
+/** The retry semantics of a route's requests. */
 public enum RequestKind {
-    /** Running it again is harmless. */
+    /** A request may be executed more than once. */
     IDEMPOTENT {
         @Override
         public boolean mayRepeat(boolean resumable) {
             return true;
         }
     },
-    /** It may run once at most. */
+    /** A request is executed at most once. */
     NON_IDEMPOTENT {
         @Override
         public boolean mayRepeat(boolean resumable) {
             return false;
         }
     },
-    /** Its answer is a series of events; it may run again only where it can be resumed. */
+    /** The response is a stream of events; a request may be executed again only if the stream can be resumed. */
     STREAM {
         @Override
         public boolean mayRepeat(boolean resumable) {
@@ -43,10 +43,10 @@
     };
 
     /**
-     * Says whether a request may run on a second target.
+     * Returns whether a request may be retried at another target.
      *
      * @param resumable whether the route's streams can be resumed
-     * @return true if another run breaks no promise
+     * @return true if it may be executed more than once
      */
     public abstract boolean mayRepeat(boolean resumable);
 }
--- a/serving/src/main/java/org/hallwall/serving/config/Route.java
+++ b/serving/src/main/java/org/hallwall/serving/config/Route.java
@@ -21,20 +21,20 @@
 import java.util.List;
 
 /**
- * One route: which requests it takes and where they go.
+ * A route: the requests that it matches and the services that they are sent to.
  *
  * @param name the route's name
- * @param host the host that callers name
- * @param pathPrefix the prefix of the path, with a slash at both ends
- * @param kind what may be repeated
- * @param timeoutMillis the longest time a request is held, in milliseconds
+ * @param host the host of the request
+ * @param pathPrefix the prefix of the path, with a leading and a trailing slash
+ * @param kind the retry semantics
+ * @param timeoutMillis the request timeout, in milliseconds
  * @param objectiveMillis the latency objective, in milliseconds
- * @param priority the rank; zero is the highest
- * @param split the services with their weights
- * @param attempts the most targets that one request may be sent to
- * @param anonymous whether no key is needed
+ * @param priority the priority; zero is the highest
+ * @param weightedServices the services with their weights
+ * @param attempts the maximum number of targets that a request is sent to
+ * @param anonymous whether requests need no key
  * @param resumable whether streams can be resumed at another target
- * @param pauseMillis the longest pause between events that is in time, in milliseconds; zero if the route has none
+ * @param pauseMillis the objective for the gap between events, in milliseconds; zero if the route has none
  */
 public record Route(
         String name,
@@ -44,14 +44,14 @@
         long timeoutMillis,
         long objectiveMillis,
         int priority,
-        List<WeightedService> split,
+        List<WeightedService> weightedServices,
         int attempts,
         boolean anonymous,
         boolean resumable,
         long pauseMillis) {
 
     /**
-     * A service with its weight in a split.
+     * A service and its weight in a split.
      *
      * @param service the service's name
      * @param weight the weight; not negative
@@ -59,32 +59,32 @@
     public record WeightedService(String service, int weight) {}
 
     /**
-     * Says whether a request may run on a second target.
+     * Returns whether a request may be retried at another target.
      *
-     * @return true if another run breaks no promise
+     * @return true if it may be executed more than once
      */
     public boolean mayRepeat() {
         return kind.mayRepeat(resumable);
     }
 
     /**
-     * Draws a service by weight.
+     * Selects a service by weight.
      *
-     * @param draw a number from 0 (inclusive) to 1 (exclusive)
+     * @param draw a random number from 0 (inclusive) to 1 (exclusive)
      * @return the service's name
      */
     public String service(double draw) {
-        long sum = 0;
-        for (WeightedService s : split) {
-            sum += s.weight();
+        long totalWeight = 0;
+        for (WeightedService s : weightedServices) {
+            totalWeight += s.weight();
         }
-        double left = draw * sum;
-        for (WeightedService s : split) {
-            left -= s.weight();
-            if (left < 0) {
+        double remaining = draw * totalWeight;
+        for (WeightedService s : weightedServices) {
+            remaining -= s.weight();
+            if (remaining < 0) {
                 return s.service();
             }
         }
-        return split.get(split.size() - 1).service();
+        return weightedServices.get(weightedServices.size() - 1).service();
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/config/RouteTable.java
+++ b/serving/src/main/java/org/hallwall/serving/config/RouteTable.java
@@ -25,12 +25,12 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Finds the route and the workspace of a request; it belongs to one configuration and never changes. */
+/** Immutable lookup of the route and the workspace of a request in one configuration. */
 public final class RouteTable {
 
     private final Configuration configuration;
-    private final Map<String, List<Route>> byHost = new HashMap<>();
-    private final Map<String, WorkspaceKeys> byKey = new HashMap<>();
+    private final Map<String, List<Route>> routesByHost = new HashMap<>();
+    private final Map<String, WorkspaceKeys> workspacesByKey = new HashMap<>();
 
     /**
      * Creates the table.
@@ -40,19 +40,20 @@
     public RouteTable(Configuration configuration) {
         this.configuration = configuration;
         for (Route r : configuration.routes()) {
-            byHost.computeIfAbsent(r.host().toLowerCase(Locale.ROOT), h -> new ArrayList<>())
+            routesByHost
+                    .computeIfAbsent(r.host().toLowerCase(Locale.ROOT), h -> new ArrayList<>())
                     .add(r);
         }
         Comparator<Route> longestFirst =
                 Comparator.comparingInt((Route r) -> r.pathPrefix().length()).reversed();
-        byHost.values().forEach(routes -> routes.sort(longestFirst));
+        routesByHost.values().forEach(routes -> routes.sort(longestFirst));
         for (WorkspaceKeys w : configuration.workspaces()) {
-            w.keys().forEach(k -> byKey.put(k, w));
+            w.keys().forEach(k -> workspacesByKey.put(k, w));
         }
     }
 
     /**
-     * Gives the configuration.
+     * Returns the configuration.
      *
      * @return the configuration
      */
@@ -61,11 +62,11 @@
     }
 
     /**
-     * Finds the route with the longest prefix that begins the path.
+     * Returns the route with the longest matching prefix.
      *
-     * @param host the host that the caller named, with or without a port
+     * @param host the host of the request, with or without a port; may be null
      * @param path the path, with or without a query
-     * @return the route, or null
+     * @return the route, or null if none matches
      */
     public Route route(String host, String path) {
         if (host == null) {
@@ -74,9 +75,9 @@
         int colon = host.lastIndexOf(':');
         String name = (colon < 0 ? host : host.substring(0, colon)).toLowerCase(Locale.ROOT);
         int query = path.indexOf('?');
-        String bare = query < 0 ? path : path.substring(0, query);
-        for (Route r : byHost.getOrDefault(name, List.of())) {
-            if (bare.startsWith(r.pathPrefix())) {
+        String pathOnly = query < 0 ? path : path.substring(0, query);
+        for (Route r : routesByHost.getOrDefault(name, List.of())) {
+            if (pathOnly.startsWith(r.pathPrefix())) {
                 return r;
             }
         }
@@ -84,17 +85,17 @@
     }
 
     /**
-     * Finds the workspace that holds a key.
+     * Returns the workspace of a key.
      *
      * @param key the key; may be null
-     * @return the workspace, or null
+     * @return the workspace, or null if the key is unknown
      */
     public WorkspaceKeys workspace(String key) {
-        return key == null ? null : byKey.get(key);
+        return key == null ? null : workspacesByKey.get(key);
     }
 
     /**
-     * Says whether requests need a key.
+     * Returns whether requests need a key.
      *
      * @return true if the configuration has workspaces
      */
--- a/serving/src/main/java/org/hallwall/serving/config/TargetService.java
+++ b/serving/src/main/java/org/hallwall/serving/config/TargetService.java
@@ -19,10 +19,10 @@
 package org.hallwall.serving.config;
 
 /**
- * A service that routes name.
+ * A service that routes refer to.
  *
  * @param name the service's name
- * @param maxConnections the most connections a target accepts from all callers together
- * @param engine what is known of its model engines; null for a plain service
+ * @param maxConnections the maximum number of connections that a target accepts from all callers together
+ * @param engine the parameters of its model engines; null for a plain service
  */
 public record TargetService(String name, int maxConnections, EngineSpec engine) {}
--- a/serving/src/main/java/org/hallwall/serving/config/WorkspaceKeys.java
+++ b/serving/src/main/java/org/hallwall/serving/config/WorkspaceKeys.java
@@ -25,6 +25,6 @@
  *
  * @param name the workspace's name
  * @param keys the keys
- * @param priority the rank that replaces the route's; null if it has none
+ * @param priority the priority that overrides the route's; null if there is none
  */
 public record WorkspaceKeys(String name, List<String> keys, Integer priority) {}
--- a/serving/src/main/java/org/hallwall/serving/config/package-info.java
+++ b/serving/src/main/java/org/hallwall/serving/config/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** The configuration as a whole: routes, services, workspaces and their keys. */
+/** The configuration: routes, services, workspaces and their keys. */
 package org.hallwall.serving.config;
--- a/serving/src/test/java/org/hallwall/serving/config/RouteTableTest.java
+++ b/serving/src/test/java/org/hallwall/serving/config/RouteTableTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Routes are found by host and longest prefix, and bad configurations are refused. */
+/** Tests the lookup of routes by host and longest prefix, and the rejection of invalid configurations. */
 class RouteTableTest {
 
     private static Route route(String name, String host, String prefix, long timeout, int... weights) {
@@ -64,12 +64,12 @@
 
     @ParameterizedTest
     @CsvSource({"0.0, s0", "0.89, s0", "0.91, s1", "0.999, s1"})
-    void servicesAreDrawnByWeight(double draw, String expected) {
+    void servicesAreSelectedByWeight(double draw, String expected) {
         Assertions.assertEquals(expected, route("r", "h", "/", 1, 90, 10).service(draw));
     }
 
     @Test
-    void oneKeyBelongsToOneWorkspace() {
+    void aKeyInTwoWorkspacesIsRejected() {
         List<WorkspaceKeys> shared =
                 List.of(new WorkspaceKeys("a", List.of("k"), null), new WorkspaceKeys("b", List.of("k"), null));
         Assertions.assertThrows(
@@ -78,14 +78,14 @@
 
     @ParameterizedTest
     @CsvSource({"0, 1, /a/, /b/", "1, 0, /a/, /b/", "1, 1, /a/, /a/"})
-    void badRoutesAreRefused(long timeout, int weight, String first, String second) {
+    void invalidRoutesAreRejected(long timeout, int weight, String first, String second) {
         Configuration bad = configuration(
                 List.of(route("r", "h", first, timeout, weight), route("q", "h", second, 1, 1)), List.of());
         Assertions.assertThrows(ConfigurationException.class, () -> ConfigurationCheck.check(bad));
     }
 
     @Test
-    void anUnknownServiceIsRefused() {
+    void anUnknownServiceIsRejected() {
         Configuration bad = configuration(List.of(route("r", "h", "/", 1, 1, 1, 1)), List.of());
         Assertions.assertThrows(ConfigurationException.class, () -> ConfigurationCheck.check(bad));
     }
