--- a/serving/src/main/java/org/hallwall/serving/relay/AdmissionWindow.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/AdmissionWindow.java
@@ -19,41 +19,41 @@
 package org.hallwall.serving.relay;
 
 /**
- * Bounds how many streams of one model this entry has in progress, so that those admitted get their first event in time.
+ * Limits the active streams of one model at this entry, so that admitted streams get their first event in time.
  *
- * <p>When groups are full, a request more only makes others late: the groups serve no more of them. The window grows while first
- * events come early and shrinks when they come late, as congestion windows do, since an entry does not know what others send.
+ * <p>Works like a congestion window, as the load of other entries is unknown: grows while first events are early and
+ * shrinks when they are late.
  */
 final class AdmissionWindow {
 
-    /** A first event later than this part of its objective shrinks the window. */
-    private static final double LATE = 2;
-    /** A first event earlier than this part of its objective lets the window grow. */
-    private static final double EARLY = 1;
+    /** Multiple of the latency objective above which a first event shrinks the window. */
+    private static final double LATE_FACTOR = 2;
+    /** Multiple of the latency objective below which a first event grows the window. */
+    private static final double EARLY_FACTOR = 1;
 
-    private static final double SHRINK = 0.85;
-    /** The shortest time between two shrinkings, in milliseconds: about the life of a request's first event. */
-    private static final long SHRINK_MILLIS = 300;
-    /** The window's bound, in shares of the groups' slots that are this entry's by number; balancers are uneven. */
-    private static final double MOST_SHARES = 4;
-    /** Up to this part of its share an entry always admits: failure domains have few or many entries for their callers. */
-    private static final double LEAST_SHARES = 1.2;
+    private static final double SHRINK_FACTOR = 0.85;
+    /** Minimum interval between two reductions, in milliseconds; about the latency of a first event. */
+    private static final long MIN_SHRINK_INTERVAL_MILLIS = 300;
+    /** Maximum window, in multiples of the equal share of this entry; allows for uneven distribution of clients. */
+    private static final double MAX_SHARES = 4;
+    /** Minimum window, in multiples of the equal share of this entry. */
+    private static final double MIN_SHARES = 1.2;
 
     private double window = Double.MAX_VALUE;
     private volatile int inProgress;
-    private long shrunkAt = Long.MIN_VALUE / 2;
+    private long lastShrinkAt = Long.MIN_VALUE / 2;
 
     /**
-     * Takes a place if there is one.
+     * Acquires a place if the window permits it.
      *
      * @param slots the slots of all groups that serve the model
-     * @param entries how many entries share them
-     * @return true if the stream may begin
+     * @param entryCount  the number of entries that share them
+     * @return true if the stream is admitted
      */
-    boolean tryEnter(int slots, int entries) {
-        double share = (double) slots / Math.max(1, entries);
-        double least = Math.max(1, share * LEAST_SHARES);
-        window = Math.max(least, Math.min(window, Math.max(1, share * MOST_SHARES)));
+    boolean tryAcquire(int slots, int entryCount) {
+        double share = (double) slots / Math.max(1, entryCount);
+        double minWindow = Math.max(1, share * MIN_SHARES);
+        window = Math.max(minWindow, Math.min(window, Math.max(1, share * MAX_SHARES)));
         if (inProgress >= window) {
             return false;
         }
@@ -61,28 +61,28 @@
         return true;
     }
 
-    /** Takes a place without asking; always true. */
-    boolean enter() {
+    /** Acquires a place unconditionally; always returns true. */
+    boolean acquire() {
         inProgress++;
         return true;
     }
 
-    /** Gives a place back. */
-    void leave() {
+    /** Releases a place. */
+    void release() {
         inProgress--;
     }
 
     /**
-     * Learns from a first event.
+     * Adjusts the window after a first event.
      *
-     * @param part the time that it took, in parts of its objective
-     * @param now the clock in milliseconds
+     * @param latencyRatio the latency of the event, as a multiple of its objective
+     * @param now the current time, in milliseconds
      */
-    void first(double part, long now) {
-        if (part > LATE && now - shrunkAt >= SHRINK_MILLIS) {
-            window = Math.max(1, Math.min(window, inProgress) * SHRINK);
-            shrunkAt = now;
-        } else if (part < EARLY) {
+    void recordFirstEvent(double latencyRatio, long now) {
+        if (latencyRatio > LATE_FACTOR && now - lastShrinkAt >= MIN_SHRINK_INTERVAL_MILLIS) {
+            window = Math.max(1, Math.min(window, inProgress) * SHRINK_FACTOR);
+            lastShrinkAt = now;
+        } else if (latencyRatio < EARLY_FACTOR) {
             window += 1 / Math.max(1, window);
         }
     }
--- a/serving/src/main/java/org/hallwall/serving/relay/AttemptFailure.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/AttemptFailure.java
@@ -20,7 +20,7 @@
 
 import org.hallwall.core.verdict.Verdict;
 
-/** One attempt at a target that gave no whole answer. */
+/** Thrown when an attempt at a target ends without a complete response. */
 public class AttemptFailure extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -29,9 +29,8 @@
     private final Kind kind;
 
     /**
-     * Creates the failure of an attempt that reached no target.
-     *
-     * @param reason why
+     * Creates the failure of an attempt that was not sent.
+     * @param reason the message
      * @return the failure
      */
     public static AttemptFailure notSent(String reason) {
@@ -39,9 +38,8 @@
     }
 
     /**
-     * Creates the failure of an attempt that was not made, as its target is not available.
-     *
-     * @param reason why
+     * Creates the failure of an attempt that was skipped because the target is unavailable.
+     * @param reason the message
      * @return the failure
      */
     public static AttemptFailure unavailable(String reason) {
@@ -49,39 +47,35 @@
     }
 
     /**
-     * Creates the failure of an attempt at an address where nothing listens.
-     *
-     * @param reason why
+     * Creates the failure of an attempt whose connection was refused.
+     * @param reason the message
      * @return the failure
      */
-    public static AttemptFailure nobodyThere(String reason) {
-        return new AttemptFailure(Verdict.NOT_RUN, reason, Kind.NOBODY_THERE);
+    public static AttemptFailure connectionRefused(String reason) {
+        return new AttemptFailure(Verdict.NOT_RUN, reason, Kind.CONNECTION_REFUSED);
     }
 
     /**
-     * Creates the failure of an attempt whose connection the target has ended before its answer was whole.
-     *
-     * @param reason why
+     * Creates the failure of an attempt whose connection the target closed before the response was complete.
+     * @param reason the message
      * @return the failure
      */
-    public static AttemptFailure brokenOff(String reason) {
-        return new AttemptFailure(Verdict.MAY_HAVE_RUN, reason, Kind.BROKEN_OFF);
+    public static AttemptFailure connectionLost(String reason) {
+        return new AttemptFailure(Verdict.MAY_HAVE_RUN, reason, Kind.CONNECTION_LOST);
     }
 
     /**
-     * Creates the failure of an attempt that was given up here.
-     *
-     * @param reason why
+     * Creates the failure of an attempt that this entry abandoned.
+     * @param reason the message
      * @return the failure
      */
-    public static AttemptFailure left(String reason) {
-        return new AttemptFailure(Verdict.MAY_HAVE_RUN, reason, Kind.LEFT);
+    public static AttemptFailure abandoned(String reason) {
+        return new AttemptFailure(Verdict.MAY_HAVE_RUN, reason, Kind.ABANDONED);
     }
 
     /**
-     * Creates the failure of an attempt that another target than the named one answered.
-     *
-     * @param reason why
+     * Creates the failure of an attempt that reached another target than the expected one.
+     * @param reason the message
      * @return the failure
      */
     public static AttemptFailure misdirected(String reason) {
@@ -89,13 +83,13 @@
     }
 
     /**
-     * Creates the failure of an attempt that reached its target.
+     * Creates the failure of an attempt to which the target responded.
      *
      * @param verdict whether the target may have run the request
-     * @param reason why
+     * @param reason the message
      */
     public AttemptFailure(Verdict verdict, String reason) {
-        this(verdict, reason, Kind.ANSWERED);
+        this(verdict, reason, Kind.RESPONDED);
     }
 
     private AttemptFailure(Verdict verdict, String reason, Kind kind) {
@@ -104,26 +98,26 @@
         this.kind = kind;
     }
 
-    /** What was seen of the target. */
+    /** How an attempt failed. */
     enum Kind {
-        /** The request was not sent to it. */
+        /** The request was not sent. */
         NOT_SENT,
-        /** It is not available, and the request was not sent to it. */
+        /** The target is unavailable, and the request was not sent. */
         UNAVAILABLE,
-        /** Nothing listens where it was. */
-        NOBODY_THERE,
-        /** Another target answered in its place. */
+        /** The target refused the connection. */
+        CONNECTION_REFUSED,
+        /** Another target responded. */
         MISDIRECTED,
-        /** It ended the connection before its answer was whole. */
-        BROKEN_OFF,
-        /** The request was given up here while it may have run. */
-        LEFT,
-        /** It answered, though not as it should. */
-        ANSWERED
+        /** The target closed the connection before the response was complete. */
+        CONNECTION_LOST,
+        /** This entry abandoned the attempt while the target may have run it. */
+        ABANDONED,
+        /** The target responded with an error or an invalid response. */
+        RESPONDED
     }
 
     /**
-     * Says what was seen of the target.
+     * Returns how the attempt failed.
      *
      * @return the kind of failure
      */
@@ -132,34 +126,34 @@
     }
 
     /**
-     * Says whether the request reached the target; one that did not is not repeated by being sent elsewhere.
+     * Returns whether the request reached the target. If not, sending it elsewhere is not charged as a retry.
      *
-     * @return true if it did
+     * @return true if the request reached the target
      */
-    public boolean hasReached() {
+    public boolean hasReachedTarget() {
         return kind != Kind.UNAVAILABLE && !isUnreachable();
     }
 
     /**
-     * Says whether the target could not be reached.
+     * Returns whether the target is unreachable.
      *
-     * @return true if so
+     * @return true if the target is unreachable
      */
     public boolean isUnreachable() {
-        return kind == Kind.NOT_SENT || kind == Kind.NOBODY_THERE;
+        return kind == Kind.NOT_SENT || kind == Kind.CONNECTION_REFUSED;
     }
 
     /**
-     * Says whether another target than the named one answered: the named one is not at its address any more.
+     * Returns whether another target responded, because the address of the expected one has been reused.
      *
-     * @return true if so
+     * @return true if another target responded
      */
     public boolean isMisdirected() {
         return kind == Kind.MISDIRECTED;
     }
 
     /**
-     * Gives the verdict.
+     * Returns the verdict.
      *
      * @return whether the target may have run the request
      */
--- a/serving/src/main/java/org/hallwall/serving/relay/Attempts.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/Attempts.java
@@ -27,21 +27,21 @@
 import org.hallwall.serving.crash.RequestDigest;
 import org.jboss.logging.Logger;
 
-/** The attempts of one request: where it was sent, what is known of its runs, and whether it may be sent once more. */
+/** Tracks the attempts of one request and decides whether it is retried. */
 final class Attempts {
 
     private static final Logger LOG = Logger.getLogger(Attempts.class);
-    /** Attempts that targets have turned away before a request is given up; they have not run. */
-    private static final int MOST_TURNED_AWAY = 3;
+    /** Maximum number of attempts that targets may reject, without running them, before the request fails. */
+    private static final int MAX_REJECTIONS = 3;
 
     private final RelayContext context;
     private final RelayRequest request;
-    private final Set<InstanceId> tried = new HashSet<>();
-    private final Set<InstanceId> brokenOffBy = new HashSet<>();
+    private final Set<InstanceId> triedTargets = new HashSet<>();
+    private final Set<InstanceId> disconnectedBy = new HashSet<>();
     private Verdict verdict = Verdict.NOT_RUN;
-    private int ran;
-    private int turnedAway;
-    private int sends;
+    private int runCount;
+    private int rejections;
+    private int sendCount;
     private RequestDigest digest;
 
     Attempts(RelayContext context, RelayRequest request) {
@@ -50,92 +50,92 @@
         this.digest = request.digest();
     }
 
-    /** Chooses a target that the request was not sent to, and notes that it is; null if none is left. */
-    ServingTarget next() {
-        ServingTarget target = other();
+    /** Selects an untried target and records the attempt; returns null if none is left. */
+    ServingTarget nextTarget() {
+        ServingTarget target = chooseTarget();
         if (target != null) {
-            tried.add(target.instance());
-            context.counters().send(request.service(), sends > 0);
-            sends++;
+            triedTargets.add(target.instance());
+            context.metrics().countSend(request.service(), sendCount > 0);
+            sendCount++;
         }
         return target;
     }
 
     /**
-     * Chooses a target that the request was not sent to; null if none is left. A permit for a target with a rate limit lapses if it is
-     * not used soon, so such targets come first; no more permits are asked for than their share of the requests.
+     * Selects an untried target; returns null if none is left. Targets with a rate limit are preferred, since an unused
+     * permit expires soon.
      */
-    ServingTarget other() {
-        List<ServingTarget> candidates = context.candidates().of(request);
+    ServingTarget chooseTarget() {
+        List<ServingTarget> candidates = context.candidates().available(request);
         ServingTarget permitted =
-                context.balancer().chooseWithRoom(context.candidates().limited(candidates), tried);
-        return permitted != null ? permitted : context.balancer().choose(candidates, tried);
+                context.balancer().chooseWithFreeSlot(context.candidates().withRateLimit(candidates), triedTargets);
+        return permitted != null ? permitted : context.balancer().choose(candidates, triedTargets);
     }
 
-    /** Says whether the request may run once more after the attempt in progress. */
-    boolean mayRunAgain() {
-        return request.route().mayRepeat() && ran + 1 < request.route().attempts();
+    /** Returns whether the request may run again after the current attempt. */
+    boolean mayRetry() {
+        return request.route().mayRepeat() && runCount + 1 < request.route().attempts();
     }
 
     Verdict verdict() {
         return verdict;
     }
 
-    int ran() {
-        return ran;
+    int runCount() {
+        return runCount;
     }
 
-    int turnedAway() {
-        return turnedAway;
+    int rejections() {
+        return rejections;
     }
 
-    /** Notes that the attempt in progress is given up with no answer. */
+    /** Records that the current attempt was aborted without a response. */
     void abandon(ServingTarget target) {
         verdict = verdict.and(Verdict.MAY_HAVE_RUN);
-        left(target);
+        markAbandoned(target);
     }
 
-    /** Notes that the attempt in progress is over here while its target may still run it. */
-    void left(ServingTarget target) {
-        context.crashes().left(target.instance(), digest());
+    /** Records that the current attempt was abandoned while the target may still run it. */
+    void markAbandoned(ServingTarget target) {
+        context.crashWatch().left(target.instance(), digest());
     }
 
-    /** Notes that the target of the attempt in progress has answered and lives. */
-    void survived() {
-        context.crashes().survived(digest());
+    /** Records that the target of the current attempt has responded. */
+    void markAnswered() {
+        context.crashWatch().survived(digest());
     }
 
-    /** Digests the request when it is first needed; null as long as the key is not known. */
+    /** Computes the digest on first use; null until the key is known. */
     private RequestDigest digest() {
-        if (digest == null && context.crashes().digester() != null) {
-            digest = request.digestBy(context.crashes().digester(), context.names());
+        if (digest == null && context.crashWatch().digester() != null) {
+            digest = request.computeDigest(context.crashWatch().digester(), context.headerNames());
         }
         return digest;
     }
 
     /**
-     * Notes that an attempt has failed and decides what becomes of the request.
+     * Records a failed attempt and decides whether the request is retried.
      *
-     * @param target where it failed
-     * @param f how
-     * @param events how many events had come before
-     * @param charged whether the budget has paid for the next attempt already
+     * @param target the target
+     * @param f the failure
+     * @param events the number of events received before
+     * @param charged whether the retry was already charged to the budget
      * @return the decision
      */
-    Resend failed(ServingTarget target, AttemptFailure f, long events, boolean charged) {
-        context.counters().attempt(f.verdict().name());
+    RetryDecision recordFailure(ServingTarget target, AttemptFailure f, long events, boolean charged) {
+        context.metrics().countAttempt(f.verdict().name());
         if (f.verdict() != Verdict.NOT_RUN) {
-            ran++;
+            runCount++;
         } else if (f.kind() != AttemptFailure.Kind.UNAVAILABLE) {
-            turnedAway++;
+            rejections++;
         }
-        noteTarget(context.balancer().state(target), target, f);
-        noteCrash(target, f);
+        updateTargetState(context.balancer().state(target), target, f);
+        updateCrashWatch(target, f);
         verdict = verdict.and(f.verdict());
-        Resend decision = decide(f, charged);
-        context.counters().resend(request.service(), decision);
+        RetryDecision decision = decide(f, charged);
+        context.metrics().countRetryDecision(request.service(), decision);
         LOG.infof(
-                "request %s: attempt at %s of %s failed after %d ms and %d events, %s: %s; it %s (%s); attempt %d of %s",
+                "request %s: attempt at %s of %s failed after %d ms and %d events, %s: %s; %s (%s); attempt %d of %s",
                 request.attemptId(),
                 target.instance(),
                 target.group() == null ? "-" : target.group().name(),
@@ -144,54 +144,54 @@
                 f.verdict(),
                 f.getMessage(),
                 decision,
-                context.budget().describe(request.service()),
-                sends,
+                context.retryBudget().describe(request.service()),
+                sendCount,
                 digest());
         return decision;
     }
 
-    private void noteTarget(TargetState state, ServingTarget target, AttemptFailure f) {
+    private void updateTargetState(TargetState state, ServingTarget target, AttemptFailure f) {
         if (f.isMisdirected()) {
-            state.displaced(target, context.now());
+            state.markDisplaced(target, context.now());
         } else if (f.verdict() != Verdict.NOT_RUN || f.isUnreachable()) {
-            state.failed(context.now());
+            state.recordFailure(context.now());
         }
     }
 
-    private void noteCrash(ServingTarget target, AttemptFailure f) {
+    private void updateCrashWatch(ServingTarget target, AttemptFailure f) {
         switch (f.kind()) {
-            case NOBODY_THERE:
-                context.crashes().gone(target.instance());
+            case CONNECTION_REFUSED:
+                context.crashWatch().gone(target.instance());
                 break;
-            case BROKEN_OFF:
-                brokenOffBy.add(target.instance());
-                context.crashes().cut(target.instance(), digest());
+            case CONNECTION_LOST:
+                disconnectedBy.add(target.instance());
+                context.crashWatch().cut(target.instance(), digest());
                 break;
-            case LEFT:
-                left(target);
+            case ABANDONED:
+                markAbandoned(target);
                 break;
             default:
-                // it was not sent, or a target that lives has answered
+                // not sent, or the target has responded
                 break;
         }
     }
 
-    private Resend decide(AttemptFailure f, boolean charged) {
+    private RetryDecision decide(AttemptFailure f, boolean charged) {
         boolean allowed = f.verdict() == Verdict.NOT_RUN
-                ? turnedAway <= MOST_TURNED_AWAY
-                : request.route().mayRepeat() && ran < request.route().attempts();
+                ? rejections <= MAX_REJECTIONS
+                : request.route().mayRepeat() && runCount < request.route().attempts();
         if (!allowed) {
-            return Resend.NOT_ALLOWED;
+            return RetryDecision.NOT_ALLOWED;
         }
-        if (context.crashes().isWatching() && context.crashes().isHeld(digest(), brokenOffBy)) {
-            return Resend.HELD_BACK;
+        if (context.crashWatch().isWatching() && context.crashWatch().isHeld(digest(), disconnectedBy)) {
+            return RetryDecision.HELD_BACK;
         }
         if (charged) {
-            return Resend.GRANTED;
+            return RetryDecision.GRANTED;
         }
-        if (!f.hasReached()) {
-            return Resend.UNCHARGED;
+        if (!f.hasReachedTarget()) {
+            return RetryDecision.UNCHARGED;
         }
-        return context.budget().tryRetry(request.service()) ? Resend.GRANTED : Resend.REFUSED;
+        return context.retryBudget().tryRetry(request.service()) ? RetryDecision.GRANTED : RetryDecision.REFUSED;
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/relay/Balancer.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/Balancer.java
@@ -31,20 +31,20 @@
 import org.hallwall.serving.decision.Mechanisms;
 
 /**
- * Chooses targets by the least outstanding work; used on the I/O thread only.
+ * Least-outstanding-requests load balancer. Confined to the I/O thread.
  *
- * <p>When the counts of all entries are known, it takes the better of two targets that it draws: the counts are some time old,
- * and if all entries went to the least loaded one at once, they would overload it.
+ * <p>If the load of all entries is known, it uses power of two choices: the load is slightly stale, and all entries
+ * would otherwise overload the least loaded target.
  */
 public final class Balancer {
 
-    /** What a target in another failure domain counts as, in requests; breaks ties in favour of the own one. */
-    private static final double OTHER_DOMAIN = 1.5;
+    /** Load penalty of targets in other failure domains, in requests. */
+    private static final double REMOTE_DOMAIN_PENALTY = 1.5;
 
-    /** The part of a near group's slots up to which no others are looked at: beyond it prompts wait for each other. */
-    private static final double NEAR_ROOM = 0.5;
+    /** Maximum utilization of a local group for which no other groups are considered; above it, prompts queue. */
+    private static final double LOCAL_LOAD_LIMIT = 0.5;
 
-    private static final int FORGET_ABOVE = 2_000;
+    private static final int MAX_STATES = 2_000;
 
     private final String failureDomain;
     private final FleetLoad fleet;
@@ -55,9 +55,9 @@
     /**
      * Creates a balancer.
      *
-     * @param failureDomain the own failure domain
-     * @param fleet what other entries have in progress
-     * @param mechanisms those in use
+     * @param failureDomain the local failure domain
+     * @param fleet the load of other entries
+     * @param mechanisms the enabled mechanisms
      * @param ticker the clock
      */
     public Balancer(String failureDomain, FleetLoad fleet, Mechanisms mechanisms, Ticker ticker) {
@@ -68,24 +68,24 @@
     }
 
     /**
-     * Chooses a target.
+     * Selects a target.
      *
-     * @param targets the targets that may take the request
-     * @param tried those that it was sent to already
-     * @return the choice, or null if none is left
+     * @param targets the candidate targets
+     * @param tried the targets already tried
+     * @return the target, or null if none is left
      */
     ServingTarget choose(List<ServingTarget> targets, Set<InstanceId> tried) {
-        List<ServingTarget> left = untried(targets, tried);
-        ServingTarget near = fleet.isKnown() && mechanisms.has(Mechanism.NEAR_FIRST) ? nearWithRoom(left) : null;
-        if (near != null) {
-            return near;
+        List<ServingTarget> remaining = eligible(targets, tried);
+        ServingTarget local = fleet.isFresh() && mechanisms.has(Mechanism.NEAR_FIRST) ? chooseLocal(remaining) : null;
+        if (local != null) {
+            return local;
         }
-        if (fleet.isKnown() && left.size() > 2 && mechanisms.has(Mechanism.TWO_CHOICES)) {
-            left = drawTwo(left);
+        if (fleet.isFresh() && remaining.size() > 2 && mechanisms.has(Mechanism.TWO_CHOICES)) {
+            remaining = pickTwo(remaining);
         }
         ServingTarget best = null;
         double least = Double.MAX_VALUE;
-        for (ServingTarget t : left) {
+        for (ServingTarget t : remaining) {
             double load = load(t);
             if (load < least) {
                 least = load;
@@ -96,18 +96,18 @@
     }
 
     /**
-     * Chooses the least loaded target that has a free slot and is not paused.
+     * Selects the least loaded target that has a free slot and is not ejected.
      *
-     * @param targets the targets that may take the request
-     * @param tried those that it was sent to already
-     * @return the choice, or null if there is none
+     * @param targets the candidate targets
+     * @param tried the targets already tried
+     * @return the target, or null if there is none
      */
-    ServingTarget chooseWithRoom(List<ServingTarget> targets, Set<InstanceId> tried) {
+    ServingTarget chooseWithFreeSlot(List<ServingTarget> targets, Set<InstanceId> tried) {
         long now = ticker.millis();
         ServingTarget best = null;
-        for (ServingTarget t : untried(targets, tried)) {
-            boolean room = running(t) < t.slots() && !state(t).isPaused(now);
-            if (room && (best == null || load(t) < load(best))) {
+        for (ServingTarget t : eligible(targets, tried)) {
+            boolean hasFreeSlot = outstanding(t) < t.slots() && !state(t).isEjected(now);
+            if (hasFreeSlot && (best == null || load(t) < load(best))) {
                 best = t;
             }
         }
@@ -115,39 +115,39 @@
     }
 
     /**
-     * Draws two groups of the own failure domain and gives the better one, if it has room enough that first events come in time
-     * there: what passes between failure domains is paid for, and is on its way for longer.
+     * Selects the less loaded of two random local groups, if its load permits timely first events. Traffic between
+     * failure domains is billed and has a higher latency.
      */
-    private ServingTarget nearWithRoom(List<ServingTarget> targets) {
-        List<ServingTarget> near = new ArrayList<>();
+    private ServingTarget chooseLocal(List<ServingTarget> targets) {
+        List<ServingTarget> local = new ArrayList<>();
         for (ServingTarget t : targets) {
             if (t.group() != null && t.failureDomain().equals(failureDomain)) {
-                near.add(t);
+                local.add(t);
             }
         }
         ServingTarget best = null;
-        for (ServingTarget t : near.size() > 2 ? drawTwo(near) : near) {
+        for (ServingTarget t : local.size() > 2 ? pickTwo(local) : local) {
             if (best == null || load(t) < load(best)) {
                 best = t;
             }
         }
-        return best != null && running(best) * best.slowness() < best.slots() * NEAR_ROOM ? best : null;
+        return best != null && outstanding(best) * best.slowdown() < best.slots() * LOCAL_LOAD_LIMIT ? best : null;
     }
 
-    /** Lists the targets that were not tried and are where they say; paused ones only if there are no others. */
-    private List<ServingTarget> untried(List<ServingTarget> targets, Set<InstanceId> tried) {
+    /** Returns the untried targets that are not displaced; ejected ones only if there are no others. */
+    private List<ServingTarget> eligible(List<ServingTarget> targets, Set<InstanceId> tried) {
         long now = ticker.millis();
-        List<ServingTarget> sound = new ArrayList<>();
-        List<ServingTarget> paused = new ArrayList<>();
+        List<ServingTarget> healthy = new ArrayList<>();
+        List<ServingTarget> ejected = new ArrayList<>();
         for (ServingTarget t : targets) {
             if (!tried.contains(t.instance()) && !state(t).isDisplaced(t, now)) {
-                (state(t).isPaused(now) ? paused : sound).add(t);
+                (state(t).isEjected(now) ? ejected : healthy).add(t);
             }
         }
-        return sound.isEmpty() ? paused : sound;
+        return healthy.isEmpty() ? ejected : healthy;
     }
 
-    private static List<ServingTarget> drawTwo(List<ServingTarget> targets) {
+    private static List<ServingTarget> pickTwo(List<ServingTarget> targets) {
         ThreadLocalRandom random = ThreadLocalRandom.current();
         int first = random.nextInt(targets.size());
         int second = (first + 1 + random.nextInt(targets.size() - 1)) % targets.size();
@@ -155,21 +155,21 @@
     }
 
     /**
-     * Counts the requests in progress at a target, those of other entries included as far as they are known.
+     * Returns the outstanding requests at a target, including the known ones of other entries.
      *
      * @param target the target
-     * @return how many
+     * @return the number of requests
      */
-    int running(ServingTarget target) {
-        return state(target).outstanding() + fleet.others(target.instance());
+    int outstanding(ServingTarget target) {
+        return state(target).outstanding() + fleet.othersOutstanding(target.instance());
     }
 
     /**
-     * Counts this entry's own requests in progress.
+     * Returns the outstanding requests of this entry.
      *
-     * @return how many by target, where there are any
+     * @return the number by target; targets without requests are omitted
      */
-    Map<String, Integer> running() {
+    Map<String, Integer> outstanding() {
         Map<String, Integer> out = new HashMap<>();
         states.forEach((id, s) -> {
             if (s.outstanding() > 0) {
@@ -180,21 +180,22 @@
     }
 
     /**
-     * Gives what this entry has seen of a target.
+     * Returns the state of a target.
      *
      * @param target the target
-     * @return its state
+     * @return the state
      */
     TargetState state(ServingTarget target) {
-        if (states.size() > FORGET_ABOVE) {
+        if (states.size() > MAX_STATES) {
             states.values().removeIf(s -> s.outstanding() == 0);
         }
         return states.computeIfAbsent(target.instance(), i -> new TargetState());
     }
 
     private double load(ServingTarget t) {
-        int running = state(t).outstanding() + (fleet.isKnown() ? fleet.others(t.instance()) : 0);
-        double load = (running + 1) * t.slowness() + ThreadLocalRandom.current().nextDouble();
-        return t.failureDomain().equals(failureDomain) ? load : load + OTHER_DOMAIN;
+        int outstanding = state(t).outstanding() + (fleet.isFresh() ? fleet.othersOutstanding(t.instance()) : 0);
+        double load =
+                (outstanding + 1) * t.slowdown() + ThreadLocalRandom.current().nextDouble();
+        return t.failureDomain().equals(failureDomain) ? load : load + REMOTE_DOMAIN_PENALTY;
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/relay/WholeAnswer.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/BufferedResponse.java
@@ -21,18 +21,18 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * An answer that was read whole.
+ * A complete response.
  *
- * @param status the status
- * @param headers the headers for the caller
- * @param body the body
+ * @param status the HTTP status
+ * @param headers the headers for the client
+ * @param body the response body
  */
-record WholeAnswer(int status, HttpHeaders headers, byte[] body) {
+record BufferedResponse(int status, HttpHeaders headers, byte[] body) {
 
-    /** The lowest status that says that the target failed. */
-    private static final int FAILED = 500;
+    /** The lowest status of a server error. */
+    private static final int MIN_SERVER_ERROR = 500;
 
     boolean isFailure() {
-        return status >= FAILED;
+        return status >= MIN_SERVER_ERROR;
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/relay/Candidates.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/CandidateTargets.java
@@ -24,11 +24,11 @@
 import org.hallwall.serving.availability.TargetAvailability;
 import org.hallwall.serving.permit.EntryPermits;
 
-/** The targets that a request may go to at this moment: those that serve it and are available. */
-final class Candidates {
+/** Lists the targets that serve a request and are currently available. */
+final class CandidateTargets {
 
-    /** How far apart callers retry who are told the same moment, in milliseconds: long enough that they are not one burst. */
-    private static final long SPREAD_MILLIS = 250;
+    /** Jitter added to Retry-After, in milliseconds, to spread the retries of clients. */
+    private static final long RETRY_JITTER_MILLIS = 250;
 
     private final EntryState state;
     private final TargetAvailability availability;
@@ -36,57 +36,57 @@
     private final DoubleSupplier random;
 
     /**
-     * Creates it.
+     * Creates the candidates.
      *
-     * @param state the targets that serve
-     * @param availability which of them are available
-     * @param permits this entry's permits for targets with a rate limit
-     * @param random draws from 0 to 1
+     * @param state the serving targets
+     * @param availability the availability of targets
+     * @param permits the permits for targets with a rate limit
+     * @param random the source of random numbers in [0, 1)
      */
-    Candidates(EntryState state, TargetAvailability availability, EntryPermits permits, DoubleSupplier random) {
+    CandidateTargets(EntryState state, TargetAvailability availability, EntryPermits permits, DoubleSupplier random) {
         this.state = state;
         this.availability = availability;
         this.permits = permits;
         this.random = random;
     }
 
-    /** Lists the targets that a request may be sent to now. */
-    List<ServingTarget> of(RelayRequest request) {
+    /** Returns the targets that are available for a request. */
+    List<ServingTarget> available(RelayRequest request) {
         return serving(request).stream()
                 .filter(t -> availability.isAvailable(t.instance()))
                 .toList();
     }
 
-    /** Lists those of some candidates that have no rate limit. */
-    List<ServingTarget> unlimited(List<ServingTarget> candidates) {
+    /** Returns the candidates without a rate limit. */
+    List<ServingTarget> withoutRateLimit(List<ServingTarget> candidates) {
         return candidates.stream().filter(t -> !permits.isLimited(t.instance())).toList();
     }
 
-    /** Lists those of some candidates that have a rate limit; this entry has a permit for each. */
-    List<ServingTarget> limited(List<ServingTarget> candidates) {
+    /** Returns the candidates with a rate limit; this entry has a permit for each. */
+    List<ServingTarget> withRateLimit(List<ServingTarget> candidates) {
         return candidates.stream().filter(t -> permits.isLimited(t.instance())).toList();
     }
 
     /**
-     * Notes a request that comes, so that permits are asked for in advance: where there are targets without a limit each target would
-     * get an even share of the requests, else a share by its limit.
+     * Records the arrival of a request, so that permits are requested in advance. The demand is distributed evenly if
+     * there are targets without a rate limit, otherwise in proportion to the limits.
      */
-    void arrived(RelayRequest request) {
+    void recordArrival(RelayRequest request) {
         if (permits.limited() == 0) {
             return;
         }
         List<ServingTarget> all = serving(request).stream()
                 .filter(t -> !availability.isDraining(t.instance()) && !availability.isBackingOff(t.instance()))
                 .toList();
-        boolean even = !unlimited(all).isEmpty();
+        boolean even = !withoutRateLimit(all).isEmpty();
         double sum = 0;
         for (ServingTarget t : all) {
             sum += even ? 1 : permits.perSecond(t.instance());
         }
-        double drawn = random.getAsDouble() * sum;
+        double point = random.getAsDouble() * sum;
         for (ServingTarget t : all) {
-            drawn -= even ? 1 : permits.perSecond(t.instance());
-            if (drawn < 0) {
+            point -= even ? 1 : permits.perSecond(t.instance());
+            if (point < 0) {
                 permits.want(t.instance());
                 return;
             }
@@ -94,28 +94,28 @@
     }
 
     private List<ServingTarget> serving(RelayRequest request) {
-        return state.targets().of(request.service(), request.model());
+        return state.targets().find(request.service(), request.model());
     }
 
-    /** Says whether there are targets that serve a request, though none may be available now. */
-    boolean serveLater(RelayRequest request) {
+    /** Returns whether any target serves a request, available or not. */
+    boolean hasServingTargets(RelayRequest request) {
         return !serving(request).isEmpty();
     }
 
-    /** Tells why none is left, for logs and callers. */
+    /** Describes why no target is left, for logs and clients. */
     String describe(RelayRequest request) {
         List<ServingTarget> all = serving(request);
         long available =
                 all.stream().filter(t -> availability.isAvailable(t.instance())).count();
         return all.isEmpty()
-                ? "no target serves"
+                ? "no target serves this request"
                 : "no target is left, " + available + " of " + all.size() + " are available, "
-                        + limited(all).size() + " are rate-limited, the others back off or drain";
+                        + withRateLimit(all).size() + " are rate-limited, the others back off or drain";
     }
 
     /**
-     * Says when a caller should retry whose request found no target, in milliseconds: when the first target no longer backs off or the
-     * first permit is due. Until then nobody would take it, and where all drain or one is left that has failed, repair takes the usual time.
+     * Returns the Retry-After time of a request without an available target, in milliseconds: the end of the earliest
+     * backoff or the next permit. If there is none, the default time.
      */
     long retryAfterMillis(RelayRequest request) {
         long earliest = Long.MAX_VALUE;
@@ -125,7 +125,7 @@
             }
         }
         return earliest == 0 || earliest == Long.MAX_VALUE
-                ? RelayContext.RETRY_AFTER_MILLIS
-                : earliest + (long) (random.getAsDouble() * SPREAD_MILLIS);
+                ? RelayContext.NO_TARGET_RETRY_AFTER_MILLIS
+                : earliest + (long) (random.getAsDouble() * RETRY_JITTER_MILLIS);
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/relay/CrashExchange.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/CrashExchange.java
@@ -43,61 +43,63 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** Asks targets and the leader of the log about requests that end targets. */
+/** Communicates with targets and the leader of the log about requests that crash targets. */
 final class CrashExchange implements CrashPeers {
 
     private static final Logger LOG = Logger.getLogger(CrashExchange.class);
-    /** How long a report may take: a commit with slow disks; the next try is a fraction of a second later. */
+    /** Timeout of a crash report; covers a commit on slow disks. */
     private static final Duration REPORT_TIMEOUT = Duration.ofMillis(900);
-    /** How long a caller whose request is held back waits for the word on a trial: a commit, and no more than it would notice. */
+    /** Timeout of a trial request, for which the client waits; covers a commit. */
     private static final Duration TRIAL_TIMEOUT = Duration.ofMillis(300);
 
     private final Supplier<Collection<PeerLink>> controllers;
     private final TargetDirectory directory;
-    private final Function<InstanceId, Mono<Boolean>> reaches;
-    private final BiFunction<InstanceId, NetAddress, Mono<Boolean>> refuses;
+    private final Function<InstanceId, Mono<Boolean>> probe;
+    private final BiFunction<InstanceId, NetAddress, Mono<Boolean>> refusesConnections;
 
     /**
      * Creates the exchange.
      *
-     * @param controllers gives the link to the leader, or those to all if it is not known
-     * @param directory all targets
-     * @param reaches asks whether a target answers; empty for one that is not available and is not asked
-     * @param refuses asks whether the address of a target refuses a connection
+     * @param controllers supplies the link to the leader, or all links if the leader is unknown
+     * @param directory the announced targets
+     * @param probe  probes a target; empty if the target is unavailable and was not probed
+     * @param refusesConnections  checks whether the address of a target refuses connections
      */
     CrashExchange(
             Supplier<Collection<PeerLink>> controllers,
             TargetDirectory directory,
-            Function<InstanceId, Mono<Boolean>> reaches,
-            BiFunction<InstanceId, NetAddress, Mono<Boolean>> refuses) {
+            Function<InstanceId, Mono<Boolean>> probe,
+            BiFunction<InstanceId, NetAddress, Mono<Boolean>> refusesConnections) {
         this.controllers = controllers;
         this.directory = directory;
-        this.reaches = reaches;
-        this.refuses = refuses;
+        this.probe = probe;
+        this.refusesConnections = refusesConnections;
     }
 
     @Override
     public Mono<Boolean> answers(InstanceId target) {
-        // one that backs off has answered lately; that it has ended since is found out by looking again
-        return reaches.apply(target).defaultIfEmpty(true);
+        // a target that is backing off has responded recently; a later check detects a crash
+        return probe.apply(target).defaultIfEmpty(true);
     }
 
     @Override
     public Mono<Boolean> refuses(InstanceId target) {
-        TargetRecord known = directory.find(target);
-        // one that has said that it leaves ends in order: what it was left with is not to blame
-        return known == null || !known.isServing() ? Mono.just(false) : refuses.apply(target, known.address());
+        TargetRecord record = directory.find(target);
+        // a target that has announced its shutdown does not count as crashed
+        return record == null || !record.isServing()
+                ? Mono.just(false)
+                : refusesConnections.apply(target, record.address());
     }
 
     @Override
     public boolean hasStartedAgain(InstanceId target) {
-        TargetRecord known = directory.find(target);
-        return known != null && known.presence() == TargetRecord.Presence.REPLACED;
+        TargetRecord record = directory.find(target);
+        return record != null && record.presence() == TargetRecord.Presence.REPLACED;
     }
 
     @Override
     public Mono<Long> report(List<EndedTarget> ended, List<RequestDigest> survived) {
-        return ask(new CrashReport(ended, survived), REPORT_TIMEOUT)
+        return callControllers(new CrashReport(ended, survived), REPORT_TIMEOUT)
                 .ofType(CrashReportTaken.class)
                 .filter(CrashReportTaken::taken)
                 .next()
@@ -106,17 +108,17 @@
 
     @Override
     public Mono<Trial> mayTry(RequestDigest digest) {
-        return ask(new TrialQuestion(digest), TRIAL_TIMEOUT)
+        return callControllers(new TrialQuestion(digest), TRIAL_TIMEOUT)
                 .ofType(TrialAnswer.class)
                 .filter(TrialAnswer::leads)
                 .next()
                 .map(a -> new Trial(a.granted(), a.againMillis()));
     }
 
-    private Flux<PeerMessage> ask(PeerMessage question, Duration timeout) {
+    private Flux<PeerMessage> callControllers(PeerMessage message, Duration timeout) {
         return Flux.fromIterable(controllers.get())
-                .flatMap(l -> l.call(question, timeout).onErrorResume(PeerException.class, e -> {
-                    LOG.debugf("crashes: no answer, %s", e.getMessage());
+                .flatMap(l -> l.call(message, timeout).onErrorResume(PeerException.class, e -> {
+                    LOG.debugf("crashes: no response, %s", e.getMessage());
                     return Mono.empty();
                 }));
     }
--- a/serving/src/main/java/org/hallwall/serving/relay/EntryNode.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/EntryNode.java
@@ -64,22 +64,25 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.resources.LoopResources;
 
-/** An entry: it follows all control instances and relays callers' requests. */
+/** Entry process: follows the state published by the control instances and relays client requests to targets. */
 public final class EntryNode implements Closeable {
 
     private static final Logger LOG = Logger.getLogger(EntryNode.class);
-    private static final int RING = 1_024;
+    private static final int RING_SIZE = 1_024;
     private static final long TICK_MILLIS = 1_000;
-    /** Links to control instances at most: one to each voter that there can be. */
-    private static final int MOST_LINKS = 9;
-    /** How long the group controller may take to answer about a head: its probes and the way there and back. */
-    private static final Duration FINDING_TIMEOUT = Duration.ofMillis(400);
-    /** How long a target may take to answer this entry; several times a round trip and the time of its answer. */
-    private static final Duration REACH_TIMEOUT = Duration.ofMillis(150);
-    /** The pause between polls of the requests in progress while stopping, in milliseconds. */
+    /** Maximum number of links to control instances; the largest supported number of voters. */
+    private static final int MAX_CONTROL_LINKS = 9;
+    /** Timeout of a query about a group head; covers the probes of the group controller and the round trip. */
+    private static final Duration HEAD_QUERY_TIMEOUT = Duration.ofMillis(400);
+    /** Timeout of a probe that this entry sends to a target. */
+    private static final Duration PROBE_TIMEOUT = Duration.ofMillis(150);
+    /** Interval between checks of the number of requests in flight during shutdown, in milliseconds. */
     private static final long STOP_POLL_MILLIS = 50;
-    /** The pause between looks for targets that have ended, and between reports of them that were not taken, in milliseconds. */
-    private static final long LOOK_MILLIS = 200;
+    /**
+     * Interval between checks for terminated targets, and between retries of unacknowledged crash reports, in
+     * milliseconds.
+     */
+    private static final long CRASH_CHECK_INTERVAL_MILLIS = 200;
 
     private final EntryNodeSettings settings;
     private final ConfigurationReader reader;
@@ -93,75 +96,77 @@
     private final Map<InstanceId, PeerLink> links = new ConcurrentHashMap<>();
     private final Map<InstanceId, FeedFollower> followers = new HashMap<>();
     private final LoopResources loops = LoopResources.create("io", 1, true);
-    private final Admission admission;
-    private final LoadExchange exchange;
+    private final AdmissionControl admission;
+    private final LoadExchange loadExchange;
     private final PermitExchange permitExchange;
-    private final RetryBudget budget;
+    private final RetryBudget retryBudget;
     private final CrashWatch crashes;
     private final EventLoop io;
     private final RelayServer server;
-    private final DutyThread duty;
-    private final Map<String, String> boots = new HashMap<>();
-    private final AtomicLong received = new AtomicLong();
-    private ScheduledFuture<?> looking;
+    private final DutyThread feedThread;
+    private final Map<String, String> bootIds = new HashMap<>();
+    private final AtomicLong latestReceivedVersion = new AtomicLong();
+    private ScheduledFuture<?> crashCheck;
     private volatile TargetGateway gateway;
-    private volatile long heardSince = -1;
-    private volatile boolean hadTargets;
+    private volatile long firstUpdateAt = -1;
+    private volatile boolean hasSeenTargets;
     private volatile boolean stopping;
 
     /**
      * Creates an entry; {@link #start(TargetGateway)} starts it.
      *
-     * @param settings what it knows at its start
-     * @param names the names of headers
-     * @param reader reads configurations
-     * @param registry where counters are registered
+     * @param settings the settings
+     * @param names the header names
+     * @param reader the configuration parser
+     * @param registry the registry for the metrics
      */
     public EntryNode(
             EntryNodeSettings settings, HeaderNames names, ConfigurationReader reader, PrometheusRegistry registry) {
         this.settings = settings;
         this.reader = reader;
-        this.budget = new RetryBudget(
-                settings.repeatRatio(),
-                settings.repeatExtra(),
-                settings.repeatWindowMillis(),
+        this.retryBudget = new RetryBudget(
+                settings.retryRatio(),
+                settings.retryExtra(),
+                settings.retryWindowMillis(),
                 settings.firstStart(),
                 ticker);
         FleetLoad fleet = new FleetLoad(ticker);
         Balancer balancer = new Balancer(settings.failureDomain(), fleet, settings.mechanisms(), ticker);
-        this.admission = new Admission(balancer, fleet, settings.mechanisms(), ticker);
+        this.admission = new AdmissionControl(balancer, fleet, settings.mechanisms(), ticker);
         this.io = loops.onServer(LoopResources.DEFAULT_NATIVE).next();
-        this.exchange = new LoadExchange(io, balancer, fleet, permits, links::values);
-        this.permitExchange = new PermitExchange(io, permits, exchange::controllers, ticker);
+        this.loadExchange = new LoadExchange(io, balancer, fleet, permits, links::values);
+        this.permitExchange = new PermitExchange(io, permits, loadExchange::controllers, ticker);
         TargetClient client = new TargetClient(loops, names, availability, ticker);
         this.crashes = new CrashWatch(
-                new CrashExchange(exchange::controllers, directory, this::reaches, client::refuses), io, ticker);
+                new CrashExchange(loadExchange::controllers, directory, this::probe, client::refusesConnections),
+                io,
+                ticker);
         RelayContext context = new RelayContext(
                 state,
-                new Candidates(
+                new CandidateTargets(
                         state,
                         availability,
                         permits,
                         () -> ThreadLocalRandom.current().nextDouble()),
                 balancer,
                 client,
-                budget,
+                retryBudget,
                 new ForwardedHeaders(names),
                 names,
-                new StalledHeads(this::ask, fleet::isInTouch, ticker),
+                new StalledHeads(this::queryHead, fleet::isControlReachable, ticker),
                 admission,
-                new StreamWatch(),
-                new RelayCounts(registry),
+                new StreamMonitor(),
+                new RelayMetrics(registry),
                 crashes,
                 ticker);
         this.server = new RelayServer(context);
-        this.duty = new DutyThread("feeds", RING, TICK_MILLIS, () -> {});
+        this.feedThread = new DutyThread("feeds", RING_SIZE, TICK_MILLIS, () -> {});
     }
 
     /**
-     * Starts.
+     * Opens the port and connects to the control instances.
      *
-     * @param targets asks targets that the group controller does not reach
+     * @param targets sends probes to targets
      * @throws IOException if the port cannot be opened
      */
     public void start(TargetGateway targets) throws IOException {
@@ -171,45 +176,46 @@
         } catch (ProgramException e) {
             throw new IOException(e.getMessage(), e);
         }
-        duty.start();
-        exchange.start();
-        permits.onDue(permitExchange::wake);
-        looking = io.scheduleAtFixedRate(crashes::tick, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+        feedThread.start();
+        loadExchange.start();
+        permits.onDue(permitExchange::trigger);
+        crashCheck = io.scheduleAtFixedRate(
+                crashes::tick, CRASH_CHECK_INTERVAL_MILLIS, CRASH_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         connect(settings.seeds());
-        LOG.infof("entry: %s takes callers on port %d", settings.instance(), server.port());
+        LOG.infof("entry: %s accepts client requests on port %d", settings.instance(), server.port());
     }
 
     /**
-     * Connects to control instances that are not known yet.
+     * Connects to control instances that have no link yet.
      *
      * @param members the control instances
      */
     public void connect(List<ControlMember> members) {
-        duty.offer(() -> connectNow(members));
+        feedThread.offer(() -> connectMissing(members));
     }
 
     /**
-     * Says whether the entry wants callers: it has a configuration, has heard the targets, knows which requests are held back, and does
-     * not stop.
+     * Returns whether the entry can serve requests: it has a configuration, target state and the list of crash
+     * suspects, and is not shutting down.
      *
-     * @return true if it does
+     * @return true if the entry is ready
      */
     public boolean isReady() {
         return !stopping
                 && state.routes().configuration().version() > 0
-                && heardSince >= 0
+                && firstUpdateAt >= 0
                 && crashes.isReady()
-                && hadTargets();
+                && hasSeenTargets();
     }
 
-    /** Once it has known targets an entry stays ready: losing them is told to callers, not to the balancer. */
-    private boolean hadTargets() {
-        hadTargets |= state.targets().size() > 0;
-        return hadTargets;
+    /** An entry that has seen targets stays ready when they disappear: requests fail with a specific error instead. */
+    private boolean hasSeenTargets() {
+        hasSeenTargets |= state.targets().size() > 0;
+        return hasSeenTargets;
     }
 
     /**
-     * Gives what the entry believes.
+     * Returns the configuration and targets in use.
      *
      * @return the state
      */
@@ -218,68 +224,68 @@
     }
 
     /**
-     * Gives what holds requests back that end targets.
+     * Returns the component that blocks requests that crash targets.
      *
-     * @return the watch
+     * @return the crash watch
      */
     public CrashWatch crashes() {
         return crashes;
     }
 
     /**
-     * Gives what is known of targets that are not available.
+     * Returns the availability of the targets.
      *
-     * @return the one place that knows
+     * @return the availability
      */
     public TargetAvailability availability() {
         return availability;
     }
 
     /**
-     * Gives the permits for targets with a rate limit.
+     * Returns the permits of this entry for targets with a rate limit.
      *
-     * @return this entry's permits
+     * @return the permits
      */
     public EntryPermits permits() {
         return permits;
     }
 
     /**
-     * Gives the relay.
+     * Returns the relay server.
      *
-     * @return the relay
+     * @return the server
      */
     public RelayServer server() {
         return server;
     }
 
-    /** Stops being ready, finishes the requests in progress, then ends. */
+    /** Reports not ready, drains the requests in flight and shuts down. */
     @Override
     public void close() {
-        LOG.infof("entry: %s stops, %d requests are in progress", settings.instance(), server.inFlight());
+        LOG.infof("entry: %s is shutting down, %d requests in flight", settings.instance(), server.inFlight());
         stopping = true;
-        server.beginStop();
+        server.beginDrain();
         long now = ticker.millis();
-        long earliest = now + settings.noticeMillis();
-        long latest = now + settings.stopMillis();
+        long earliest = now + settings.drainNoticeMillis();
+        long latest = now + settings.stopTimeoutMillis();
         while (ticker.millis() < earliest) {
-            pause();
+            sleep();
         }
-        server.stopTaking();
+        server.rejectNewRequests();
         while (ticker.millis() < latest && server.inFlight() > 0) {
-            pause();
+            sleep();
         }
-        LOG.infof("entry: %s ends, %d requests are cut off", settings.instance(), server.inFlight());
+        LOG.infof("entry: %s terminates, %d requests aborted", settings.instance(), server.inFlight());
         followers.values().forEach(FeedFollower::close);
-        exchange.close();
+        loadExchange.close();
         permitExchange.close();
-        looking.cancel(false);
-        duty.close();
+        crashCheck.cancel(false);
+        feedThread.close();
         links.values().forEach(PeerLink::close);
         server.close();
     }
 
-    private static void pause() {
+    private static void sleep() {
         try {
             Thread.sleep(STOP_POLL_MILLIS);
         } catch (InterruptedException e) {
@@ -287,150 +293,155 @@
         }
     }
 
-    /** Drops control instances that are no longer named and cannot be reached. */
-    private void disconnectFrom(List<ControlMember> members) {
-        List<InstanceId> named = members.stream().map(ControlMember::instance).toList();
+    /** Closes links to control instances that are no longer members and are unreachable. */
+    private void disconnectUnlisted(List<ControlMember> members) {
+        List<InstanceId> listed = members.stream().map(ControlMember::instance).toList();
         for (InstanceId id : List.copyOf(links.keySet())) {
-            if (!named.contains(id) && !followers.get(id).isInTouch()) {
-                LOG.infof("entry: control instance %s is no longer named", id);
+            if (!listed.contains(id) && !followers.get(id).isInTouch()) {
+                LOG.infof("entry: control instance %s is no longer a member", id);
                 followers.remove(id).close();
                 links.remove(id).close();
-                state.takeLost(id.value(), List.of());
+                state.setLostTargets(id.value(), List.of());
             }
         }
     }
 
-    private void connectNow(List<ControlMember> members) {
+    private void connectMissing(List<ControlMember> members) {
         List<ControlMember> sorted = new ArrayList<>(members);
         sorted.sort(Comparator.comparing(ControlMember::instance));
         for (ControlMember m : sorted) {
-            if (!links.containsKey(m.instance()) && links.size() < MOST_LINKS) {
+            if (!links.containsKey(m.instance()) && links.size() < MAX_CONTROL_LINKS) {
                 PeerLink link = new PeerLink(m.peer(), settings.fleet(), settings.instance(), codec);
                 links.put(m.instance(), link);
-                FeedFollower f = new FeedFollower(
+                FeedFollower follower = new FeedFollower(
                         m.instance().value(),
                         link,
                         false,
                         this::receivedVersion,
                         crashes::version,
-                        admission::streams,
-                        onDuty(news -> take(m.instance().value(), news)));
-                followers.put(m.instance(), f);
-                f.start();
+                        admission::streamDemand,
+                        onFeedThread(news -> applyUpdate(m.instance().value(), news)));
+                followers.put(m.instance(), follower);
+                follower.start();
             }
         }
     }
 
-    /** The version that was received, whether or not it was read yet: it need not be sent again. */
+    /** Returns the newest configuration version received, applied or not, so that it is not sent again. */
     private long receivedVersion() {
-        return Math.max(received.get(), version());
+        return Math.max(latestReceivedVersion.get(), configurationVersion());
     }
 
-    private long version() {
+    private long configurationVersion() {
         return state.routes().configuration().version();
     }
 
-    /** Hands news to the duty thread; a full ring is an error, so that the follower asks again. */
-    private Consumer<FeedMessage.News> onDuty(Consumer<FeedMessage.News> consumer) {
+    /** Hands updates to the feed thread; throws if its queue is full, so that the follower requests them again. */
+    private Consumer<FeedMessage.News> onFeedThread(Consumer<FeedMessage.News> consumer) {
         return news -> {
-            received.accumulateAndGet(news.configurationVersion(), Math::max);
-            if (!duty.offer(() -> consumer.accept(news))) {
-                throw new IllegalStateException("the ring is full");
+            latestReceivedVersion.accumulateAndGet(news.configurationVersion(), Math::max);
+            if (!feedThread.offer(() -> consumer.accept(news))) {
+                throw new IllegalStateException("the queue of the feed thread is full");
             }
         };
     }
 
-    private void take(String control, FeedMessage.News news) {
+    private void applyUpdate(String control, FeedMessage.News news) {
         news.records().forEach(directory::take);
-        if (!news.boot().equals(boots.put(control, news.boot())) || news.lost() != null) {
-            state.takeLost(control, news.lost() == null ? List.of() : news.lost());
+        if (!news.boot().equals(bootIds.put(control, news.boot())) || news.lost() != null) {
+            state.setLostTargets(control, news.lost() == null ? List.of() : news.lost());
         }
         if (news.configuration() != null) {
-            configure(news);
+            applyConfiguration(news);
         }
         if (!news.records().isEmpty() || news.lost() != null) {
-            state.judge();
+            state.refreshTargets();
         }
         if (news.suspects() != null) {
             io.execute(() -> crashes.take(news.suspects()));
         }
-        budget.entries(news.mostEntries());
+        retryBudget.recordEntryCount(news.mostEntries());
         permits.entries(news.mostEntries());
-        admission.entries(news.entries());
-        exchange.entries(news.entries());
+        admission.setEntryCount(news.entries());
+        loadExchange.setEntryCount(news.entries());
         if (!news.members().isEmpty()) {
-            disconnectFrom(news.members());
-            connectNow(news.members());
+            disconnectUnlisted(news.members());
+            connectMissing(news.members());
         }
-        if (heardSince < 0) {
-            heardSince = ticker.millis();
+        if (firstUpdateAt < 0) {
+            firstUpdateAt = ticker.millis();
         }
     }
 
-    private void configure(FeedMessage.News news) {
-        if (news.configurationVersion() <= version()) {
+    private void applyConfiguration(FeedMessage.News news) {
+        if (news.configurationVersion() <= configurationVersion()) {
             return;
         }
         try {
-            state.take(reader.read(PackedBytes.unpack(news.configuration())));
+            state.applyConfiguration(reader.read(PackedBytes.unpack(news.configuration())));
         } catch (IOException | ConfigurationException e) {
-            LOG.errorf(e, "configuration: version %d cannot be read here", news.configurationVersion());
+            LOG.errorf(e, "configuration: version %d cannot be parsed", news.configurationVersion());
         }
     }
 
-    /** Asks about a head; the control instance that controls the groups knows. */
-    private Mono<GroupLiveness> ask(StalledHead head) {
-        return Flux.fromIterable(exchange.controllers())
-                .flatMap(l -> finding(l, head)
-                        .flatMap(f -> f.liveness() == GroupLiveness.SUSPECTED ? secondOpinion(l, f) : Mono.just(f)))
+    /** Queries the group controller for the liveness of a head. */
+    private Mono<GroupLiveness> queryHead(StalledHead head) {
+        return Flux.fromIterable(loadExchange.controllers())
+                .flatMap(l -> callController(l, head)
+                        .flatMap(f -> f.liveness() == GroupLiveness.SUSPECTED ? probeSuspects(l, f) : Mono.just(f)))
                 .map(HeadFinding::liveness)
                 .filter(found -> found != GroupLiveness.UNKNOWN)
                 .next()
                 .defaultIfEmpty(GroupLiveness.UNKNOWN);
     }
 
-    private static Mono<HeadFinding> finding(PeerLink link, FeedMessage question) {
-        return link.call(question, FINDING_TIMEOUT).ofType(HeadFinding.class).onErrorResume(PeerException.class, e -> {
-            LOG.debugf("entry: no answer to %s, %s", question, e.getMessage());
-            return Mono.empty();
-        });
+    private static Mono<HeadFinding> callController(PeerLink link, FeedMessage message) {
+        return link.call(message, HEAD_QUERY_TIMEOUT)
+                .ofType(HeadFinding.class)
+                .onErrorResume(PeerException.class, e -> {
+                    LOG.debugf("entry: no response to %s, %s", message, e.getMessage());
+                    return Mono.empty();
+                });
     }
 
-    /** Asks the members that did not answer the controller, but for those that are not available, tells it, and goes by its own finding if it does not answer. */
-    private Mono<HeadFinding> secondOpinion(PeerLink link, HeadFinding suspected) {
-        List<InstanceId> asked =
+    /**
+     * Probes the suspected members that may be probed and reports the result to the controller. Falls back to its own
+     * result if the controller does not respond.
+     */
+    private Mono<HeadFinding> probeSuspects(PeerLink link, HeadFinding suspected) {
+        List<InstanceId> probed =
                 suspected.suspects().stream().filter(availability::mayProbe).toList();
-        if (asked.isEmpty()) {
+        if (probed.isEmpty()) {
             return Mono.just(new HeadFinding(suspected.group(), GroupLiveness.UNKNOWN, List.of()));
         }
-        return Flux.fromIterable(asked)
-                .filterWhen(id -> reaches(id).defaultIfEmpty(true))
+        return Flux.fromIterable(probed)
+                .filterWhen(id -> probe(id).defaultIfEmpty(true))
                 .collectList()
                 .flatMap(reached -> {
-                    List<InstanceId> silent = new ArrayList<>(asked);
+                    List<InstanceId> silent = new ArrayList<>(probed);
                     silent.removeAll(reached);
-                    GroupLiveness own = silent.isEmpty() ? GroupLiveness.WORKING : GroupLiveness.LOST;
-                    return finding(link, new FeedMessage.SuspectFinding(suspected.group(), reached, silent))
-                            .defaultIfEmpty(new HeadFinding(suspected.group(), own, List.of()));
+                    GroupLiveness liveness = silent.isEmpty() ? GroupLiveness.WORKING : GroupLiveness.LOST;
+                    return callController(link, new FeedMessage.SuspectFinding(suspected.group(), reached, silent))
+                            .defaultIfEmpty(new HeadFinding(suspected.group(), liveness, List.of()));
                 });
     }
 
-    private Mono<Boolean> reaches(InstanceId target) {
+    private Mono<Boolean> probe(InstanceId target) {
         TargetRecord record = directory.find(target);
-        return record == null || gateway == null ? Mono.just(false) : gateway.answers(record, REACH_TIMEOUT);
+        return record == null || gateway == null ? Mono.just(false) : gateway.answers(record, PROBE_TIMEOUT);
     }
 
     /**
-     * Gives the I/O threads.
+     * Returns the I/O threads that serve clients and targets.
      *
-     * @return the threads that callers and targets are served on
+     * @return the I/O threads
      */
     public LoopResources loops() {
         return loops;
     }
 
     /**
-     * Where callers connect.
+     * Returns the listen address.
      *
      * @return the address
      */
--- a/serving/src/main/java/org/hallwall/serving/relay/EntryNodeSettings.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/EntryNodeSettings.java
@@ -26,20 +26,20 @@
 import org.hallwall.serving.target.FeedMessage.ControlMember;
 
 /**
- * What an entry knows at its start.
+ * Settings of an entry.
  *
- * @param fleet the name that all processes of the system share
- * @param instance this entry
- * @param failureDomain its failure domain
- * @param listen where callers connect
- * @param seeds some control instances
- * @param firstStart whether the whole system starts for the first time
- * @param repeatRatio repeats allowed for each request
- * @param repeatExtra repeats allowed besides, over the whole system
- * @param repeatWindowMillis the window of both, in milliseconds
- * @param noticeMillis how long callers still come after a stop was asked for, in milliseconds
- * @param stopMillis how long a stop may take, in milliseconds
- * @param mechanisms the mechanisms of its decisions in use
+ * @param fleet the name of the deployment, shared by all its processes
+ * @param instance the id of this entry
+ * @param failureDomain the failure domain of this entry
+ * @param listen the address for client connections
+ * @param seeds the control instances to connect to first
+ * @param firstStart whether this is the first start of the deployment
+ * @param retryRatio retries allowed per request
+ * @param retryExtra additional retries allowed per window, shared by all entries
+ * @param retryWindowMillis the window of the retry budget, in milliseconds
+ * @param drainNoticeMillis how long new requests are accepted after shutdown has begun, in milliseconds
+ * @param stopTimeoutMillis the timeout of the shutdown, in milliseconds
+ * @param mechanisms the enabled decision mechanisms
  */
 public record EntryNodeSettings(
         String fleet,
@@ -48,9 +48,9 @@
         NetAddress listen,
         List<ControlMember> seeds,
         boolean firstStart,
-        double repeatRatio,
-        double repeatExtra,
-        long repeatWindowMillis,
-        long noticeMillis,
-        long stopMillis,
+        double retryRatio,
+        double retryExtra,
+        long retryWindowMillis,
+        long drainNoticeMillis,
+        long stopTimeoutMillis,
         Mechanisms mechanisms) {}
--- a/serving/src/main/java/org/hallwall/serving/relay/EntryState.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/EntryState.java
@@ -34,28 +34,28 @@
 import org.hallwall.serving.target.TargetRecord;
 import org.jboss.logging.Logger;
 
-/** What an entry believes: the configuration in force and the targets that may take requests. */
+/** Holds the active configuration and the targets that can serve requests. */
 public final class EntryState {
 
     private static final Logger LOG = Logger.getLogger(EntryState.class);
 
     private final TargetDirectory directory;
     private final List<Runnable> listeners = new CopyOnWriteArrayList<>();
-    private final Map<String, Set<InstanceId>> lostBy = new HashMap<>();
+    private final Map<String, Set<InstanceId>> lostByControl = new HashMap<>();
     private volatile RouteTable routes = new RouteTable(Configuration.NONE);
     private volatile ServingTargets targets = ServingTargets.NONE;
 
     /**
-     * Creates the state of an entry that knows nothing yet.
+     * Creates an empty state.
      *
-     * @param directory all targets
+     * @param directory the announced targets
      */
     public EntryState(TargetDirectory directory) {
         this.directory = directory;
     }
 
     /**
-     * Gives the routes in force.
+     * Returns the active routes.
      *
      * @return the routes
      */
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Gives the targets that may take requests.
+     * Returns the targets that can serve requests.
      *
      * @return the targets
      */
@@ -73,47 +73,47 @@
     }
 
     /**
-     * Adds someone who is told after the targets have changed.
+     * Adds a listener that is called after the targets have changed.
      *
-     * @param listener called on the thread that brought the change
+     * @param listener the listener, called on the thread that made the change
      */
-    public void onTargets(Runnable listener) {
+    public void addTargetListener(Runnable listener) {
         listeners.add(listener);
     }
 
     /**
-     * Puts a configuration in force if it is newer; versions never go back.
+     * Activates a configuration if its version is newer than the active one.
      *
-     * @param fresh the configuration
+     * @param configuration the configuration
      */
-    public synchronized void take(Configuration fresh) {
-        long before = routes.configuration().version();
-        if (fresh.version() <= before) {
+    public synchronized void applyConfiguration(Configuration configuration) {
+        long previous = routes.configuration().version();
+        if (configuration.version() <= previous) {
             return;
         }
-        routes = new RouteTable(fresh);
+        routes = new RouteTable(configuration);
         LOG.infof(
                 "configuration: version %d replaces %d, %d routes",
-                fresh.version(), before, fresh.routes().size());
-        judge();
+                configuration.version(), previous, configuration.routes().size());
+        refreshTargets();
     }
 
     /**
-     * Takes what a control instance holds for dead.
+     * Sets the targets that a control instance considers dead.
      *
      * @param control the control instance
-     * @param lost all that it holds for dead
+     * @param lost all targets that it considers dead
      */
-    public synchronized void takeLost(String control, Collection<InstanceId> lost) {
-        lostBy.put(control, Set.copyOf(lost));
+    public synchronized void setLostTargets(String control, Collection<InstanceId> lost) {
+        lostByControl.put(control, Set.copyOf(lost));
     }
 
-    /** Judges the targets anew, because one has changed. */
-    public synchronized void judge() {
+    /** Recomputes the targets that can serve requests. */
+    public synchronized void refreshTargets() {
         List<TargetRecord> records = new ArrayList<>();
         for (KnownTarget t : directory.list()) {
             TargetRecord r = t.record();
-            if (lostBy.values().stream().noneMatch(lost -> lost.contains(r.instance()))) {
+            if (lostByControl.values().stream().noneMatch(lost -> lost.contains(r.instance()))) {
                 records.add(r);
             }
         }
--- a/serving/src/main/java/org/hallwall/serving/relay/EventCutter.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/EventStreamDecoder.java
@@ -23,25 +23,25 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Cuts a stream of bytes into whole events; what follows the last whole one is kept back until it is whole. */
-public final class EventCutter {
+/** Splits a byte stream into server-sent events and buffers the last, incomplete one. */
+public final class EventStreamDecoder {
 
-    /** The largest event that is taken, in bytes; far above the few hundred that targets send. */
-    private static final int MOST_BYTES = 1 << 20;
+    /** Maximum size of an event, in bytes. */
+    private static final int MAX_EVENT_BYTES = 1 << 20;
 
-    private static final String ID = "id:";
+    private static final String ID_FIELD = "id:";
 
-    private final ByteArrayOutputStream held = new ByteArrayOutputStream(512);
+    private final ByteArrayOutputStream pending = new ByteArrayOutputStream(512);
     private int newlines;
 
     /**
-     * Takes bytes.
+     * Decodes a chunk of the stream.
      *
-     * @param bytes the bytes
-     * @return the events that are whole now, in order
+     * @param bytes the chunk
+     * @return the events completed by this chunk, in order
      * @throws IllegalArgumentException if an event is too large
      */
-    public List<Event> take(byte[] bytes) {
+    public List<Event> decode(byte[] bytes) {
         List<Event> out = new ArrayList<>(2);
         int from = 0;
         for (int i = 0; i < bytes.length; i++) {
@@ -52,40 +52,40 @@
                 newlines = 0;
             }
             if (newlines == 2) {
-                held.write(bytes, from, i + 1 - from);
+                pending.write(bytes, from, i + 1 - from);
                 from = i + 1;
                 newlines = 0;
-                out.add(event(held.toByteArray()));
-                held.reset();
+                out.add(toEvent(pending.toByteArray()));
+                pending.reset();
             }
         }
-        held.write(bytes, from, bytes.length - from);
-        if (held.size() > MOST_BYTES) {
-            throw new IllegalArgumentException("an event is larger than " + MOST_BYTES + " bytes");
+        pending.write(bytes, from, bytes.length - from);
+        if (pending.size() > MAX_EVENT_BYTES) {
+            throw new IllegalArgumentException("an event is larger than " + MAX_EVENT_BYTES + " bytes");
         }
         return out;
     }
 
     /**
-     * Says whether part of an event is kept back.
+     * Returns whether an incomplete event is buffered.
      *
-     * @return true if the bytes so far do not end with a whole event
+     * @return true if the bytes so far do not end with a complete event
      */
-    public boolean holdsPart() {
-        return held.size() > 0;
+    public boolean hasPartialEvent() {
+        return pending.size() > 0;
     }
 
-    private static Event event(byte[] bytes) {
+    private static Event toEvent(byte[] bytes) {
         long id = Event.NO_ID;
         for (String line : new String(bytes, StandardCharsets.ISO_8859_1).split("\r?\n")) {
-            if (line.startsWith(ID)) {
-                id = parse(line.substring(ID.length()).trim());
+            if (line.startsWith(ID_FIELD)) {
+                id = parseId(line.substring(ID_FIELD.length()).trim());
             }
         }
         return new Event(bytes, id);
     }
 
-    private static long parse(String text) {
+    private static long parseId(String text) {
         try {
             return Long.parseLong(text);
         } catch (NumberFormatException e) {
@@ -94,14 +94,14 @@
     }
 
     /**
-     * A whole event.
+     * A complete event.
      *
-     * @param bytes its bytes, with the empty line at its end
-     * @param id its id, or {@link #NO_ID}
+     * @param bytes the bytes, including the terminating empty line
+     * @param id the id, or {@link #NO_ID}
      */
     public record Event(byte[] bytes, long id) {
 
-        /** Stands for an event without a numeric id. */
+        /** The id of events without a numeric id. */
         public static final long NO_ID = Long.MIN_VALUE;
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/relay/FleetLoad.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/FleetLoad.java
@@ -24,21 +24,24 @@
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.time.Ticker;
 
-/** What the other entries have in progress at each target, as of their last reports; used on the I/O thread only. */
+/** Outstanding requests of the other entries by target, as last reported. Confined to the I/O thread. */
 public final class FleetLoad {
 
-    /** How long sums are used, in milliseconds; older ones say little, since a stream lives for about a second. */
-    private static final long FRESH_MILLIS = 1_500;
+    /** Maximum age of the totals, in milliseconds; about the duration of a stream. */
+    private static final long MAX_AGE_MILLIS = 1_500;
 
-    /** After this long without sums the control instance counts as out of touch, in milliseconds: two reports. */
-    private static final long IN_TOUCH_MILLIS = 500;
+    /**
+     * Time without totals after which the control instance counts as unreachable, in milliseconds; two report
+     * intervals.
+     */
+    private static final long CONTROL_TIMEOUT_MILLIS = 500;
 
     private final Ticker ticker;
-    private Map<String, Integer> others = Map.of();
-    private long takenAt = Long.MIN_VALUE / 2;
+    private Map<String, Integer> othersOutstanding = Map.of();
+    private long updatedAt = Long.MIN_VALUE / 2;
 
     /**
-     * Creates it; nothing is known at first.
+     * Creates an empty load table.
      *
      * @param ticker the clock
      */
@@ -47,52 +50,52 @@
     }
 
     /**
-     * Takes sums over all entries.
+     * Updates the totals over all entries.
      *
-     * @param own what this entry had reported when they were made, by target
-     * @param sums the requests in progress of all entries, by target
+     * @param own the requests that this entry had reported, included in the totals, by target
+     * @param totals the outstanding requests of all entries, by target
      */
-    void take(Map<String, Integer> own, Map<String, Integer> sums) {
-        Map<String, Integer> rest = new HashMap<>();
-        sums.forEach((target, n) -> rest.put(target, Math.max(0, n - own.getOrDefault(target, 0))));
-        others = rest;
-        takenAt = ticker.millis();
+    void update(Map<String, Integer> own, Map<String, Integer> totals) {
+        Map<String, Integer> remaining = new HashMap<>();
+        totals.forEach((target, n) -> remaining.put(target, Math.max(0, n - own.getOrDefault(target, 0))));
+        othersOutstanding = remaining;
+        updatedAt = ticker.millis();
     }
 
     /**
-     * Says whether the sums are known.
+     * Returns whether the totals are up to date.
      *
-     * @return true if they came lately
+     * @return true if they are not older than the maximum age
      */
-    boolean isKnown() {
-        return ageMillis() <= FRESH_MILLIS;
+    boolean isFresh() {
+        return ageMillis() <= MAX_AGE_MILLIS;
     }
 
     /**
-     * Says whether the control instance that keeps the sums is in touch.
+     * Returns whether the control instance that computes the totals is reachable.
      *
-     * @return true if it has answered one of the last reports
+     * @return true if it has answered a recent report
      */
-    boolean isInTouch() {
-        return ageMillis() <= IN_TOUCH_MILLIS;
+    boolean isControlReachable() {
+        return ageMillis() <= CONTROL_TIMEOUT_MILLIS;
     }
 
     /**
-     * Gives the age of the sums.
+     * Returns the age of the totals.
      *
-     * @return the time since they came, in milliseconds
+     * @return the age, in milliseconds
      */
     long ageMillis() {
-        return ticker.millis() - takenAt;
+        return ticker.millis() - updatedAt;
     }
 
     /**
-     * Counts the requests of other entries at a target.
+     * Returns the outstanding requests of other entries at a target.
      *
      * @param target the target
-     * @return how many; zero if nothing is known
+     * @return the number of requests; zero if unknown
      */
-    int others(InstanceId target) {
-        return others.getOrDefault(target.value(), 0);
+    int othersOutstanding(InstanceId target) {
+        return othersOutstanding.getOrDefault(target.value(), 0);
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/relay/ForwardedHeaders.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/ForwardedHeaders.java
@@ -27,10 +27,10 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** Copies the headers that are passed on; those that belong to one connection are left out. */
+/** Copies the headers to forward, without hop-by-hop headers. */
 public final class ForwardedHeaders {
 
-    private static final Set<String> OF_A_CONNECTION = Set.of(
+    private static final Set<String> HOP_BY_HOP = Set.of(
             "connection",
             "keep-alive",
             "proxy-authenticate",
@@ -49,20 +49,20 @@
     /**
      * Creates the copier.
      *
-     * @param names the names of the headers that the relay sets
+     * @param names the header names
      */
     public ForwardedHeaders(HeaderNames names) {
         this.names = names;
     }
 
     /**
-     * Copies a request's headers for a target.
+     * Copies the headers of a request for a target.
      *
-     * @param from the caller's headers
-     * @param workspace the workspace of the caller's key, or null
-     * @return the headers, without those of the attempt itself
+     * @param from the headers of the client
+     * @param workspace the workspace of the key, or null
+     * @return the headers, without those set per attempt
      */
-    public HttpHeaders request(HttpHeaders from, String workspace) {
+    public HttpHeaders forRequest(HttpHeaders from, String workspace) {
         HttpHeaders out = copy(from);
         out.remove(names.key());
         out.remove(names.workspace());
@@ -74,28 +74,28 @@
     }
 
     /**
-     * Copies an answer's headers for the caller.
+     * Copies the headers of a response for the client.
      *
-     * @param from the target's headers
+     * @param from the headers of the target
      * @return the headers
      */
-    public HttpHeaders answer(HttpHeaders from) {
+    public HttpHeaders forResponse(HttpHeaders from) {
         return copy(from);
     }
 
     private static HttpHeaders copy(HttpHeaders from) {
-        Set<String> named = namedByConnection(from);
+        Set<String> listed = connectionOptions(from);
         HttpHeaders out = new DefaultHttpHeaders();
         for (Map.Entry<String, String> h : from) {
             String name = h.getKey().toLowerCase(Locale.ROOT);
-            if (!OF_A_CONNECTION.contains(name) && !named.contains(name)) {
+            if (!HOP_BY_HOP.contains(name) && !listed.contains(name)) {
                 out.add(h.getKey(), h.getValue());
             }
         }
         return out;
     }
 
-    private static Set<String> namedByConnection(HttpHeaders from) {
+    private static Set<String> connectionOptions(HttpHeaders from) {
         Set<String> out = new HashSet<>();
         for (String value : from.getAll(HttpHeaderNames.CONNECTION)) {
             for (String name : value.split(",")) {
--- a/serving/src/main/java/org/hallwall/serving/relay/HeaderNames.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/HeaderNames.java
@@ -19,19 +19,19 @@
 package org.hallwall.serving.relay;
 
 /**
- * The names of the headers that the relay reads and sets; an adapter supplies them.
+ * Names of the headers that the relay reads and sets.
  *
- * @param attemptId the caller's id of this attempt; a target echoes it
- * @param deadlineMillis how long the caller will wait, in milliseconds
- * @param expectedTarget the only target that may run the request
- * @param workspace the workspace of the caller's key
- * @param key the caller's key
- * @param notRun set by a target that has not run the request
- * @param model the model that the request wants
- * @param lastEventId the last event that the caller has
- * @param leaving set by a target that is about to end
- * @param answeredBy set by a target that turns a request away, to its own name
- * @param rateLimit set by a target that limits its rate, to the requests a second that it takes from the whole system
+ * @param attemptId the client-assigned id of the attempt, echoed by the target
+ * @param deadlineMillis the time that the client waits for the response, in milliseconds
+ * @param expectedTarget the target instance that the request is meant for
+ * @param workspace the workspace of the key
+ * @param key the key of the client
+ * @param notRun set by targets that have not run the request
+ * @param model the requested model
+ * @param lastEventId the last event that the client has received
+ * @param leaving set by targets that are shutting down
+ * @param answeredBy set by targets that reject a request, to their own name
+ * @param rateLimit set by targets with a rate limit, to the requests per second that they accept from all entries
  */
 public record HeaderNames(
         String attemptId,
--- a/serving/src/main/java/org/hallwall/serving/relay/LoadExchange.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/LoadExchange.java
@@ -38,16 +38,16 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Reports this entry's requests in progress to the control instance that controls the groups, and learns the sums over all
- * entries. It runs on the I/O thread, which alone knows the counts.
+ * Reports the outstanding requests of this entry to the group controller and receives the totals over all entries. Runs
+ * on the I/O thread, which owns the counts.
  */
 final class LoadExchange implements Closeable {
 
     private static final Logger LOG = Logger.getLogger(LoadExchange.class);
-    /** How often reports go out, in milliseconds: a fraction of a stream's life, so that sums are not far off. */
-    private static final long EVERY_MILLIS = 200;
-    /** From each further number of entries on, reports go out more rarely: the sums grow with the fleet. */
-    private static final int ENTRIES_A_TICK = 40;
+    /** Interval between reports, in milliseconds; a fraction of the duration of a stream. */
+    private static final long TICK_MILLIS = 200;
+    /** Number of entries per additional tick between reports; keeps the load of the controller bounded. */
+    private static final int ENTRIES_PER_TICK = 40;
 
     private static final Duration TIMEOUT = Duration.ofMillis(400);
 
@@ -56,8 +56,8 @@
     private final FleetLoad load;
     private final EntryPermits permits;
     private final Supplier<Collection<PeerLink>> links;
-    private volatile int entries = 1;
-    private volatile PeerLink controls;
+    private volatile int entryCount = 1;
+    private volatile PeerLink controllerLink;
     private ScheduledFuture<?> timer;
     private long ticks;
 
@@ -75,55 +75,55 @@
     }
 
     void start() {
-        timer = loop.scheduleAtFixedRate(this::tick, EVERY_MILLIS, EVERY_MILLIS, TimeUnit.MILLISECONDS);
+        timer = loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    void entries(int count) {
-        entries = Math.max(1, count);
+    void setEntryCount(int count) {
+        entryCount = Math.max(1, count);
     }
 
     private void tick() {
         ticks++;
-        if (ticks % (1 + entries / ENTRIES_A_TICK) == 0) {
-            exchange();
+        if (ticks % (1 + entryCount / ENTRIES_PER_TICK) == 0) {
+            exchangeLoad();
         }
     }
 
-    /** Gives the link to the control instance that controls the groups, or those to all if it is not known. */
+    /** Returns the link to the group controller, or all links if the controller is unknown. */
     Collection<PeerLink> controllers() {
-        PeerLink known = controls;
+        PeerLink known = controllerLink;
         return known == null ? List.copyOf(links.get()) : List.of(known);
     }
 
-    private void exchange() {
-        Map<String, Integer> own = balancer.running();
+    private void exchangeLoad() {
+        Map<String, Integer> own = balancer.outstanding();
         Flux.fromIterable(controllers())
-                .flatMap(l -> ask(l, own))
+                .flatMap(l -> requestSums(l, own))
                 .next()
-                .subscribe(s -> loop.execute(() -> take(own, s)), e -> LOG.errorf(e, "load: the exchange failed"));
+                .subscribe(s -> loop.execute(() -> applySums(own, s)), e -> LOG.errorf(e, "load: the exchange failed"));
     }
 
-    private void take(Map<String, Integer> own, LoadSums sums) {
-        load.take(own, sums.running());
+    private void applySums(Map<String, Integer> own, LoadSums sums) {
+        load.update(own, sums.running());
         permits.learn(sums.limits());
     }
 
-    /** Gives the sums of a control instance that controls the groups; all others give none. */
-    private Mono<LoadSums> ask(PeerLink link, Map<String, Integer> own) {
+    /** Requests the totals; empty if the control instance is not the group controller. */
+    private Mono<LoadSums> requestSums(PeerLink link, Map<String, Integer> own) {
         return link.call(new LoadReport(own), TIMEOUT)
                 .cast(LoadSums.class)
                 .filter(LoadSums::controls)
-                .doOnNext(s -> controls = link)
+                .doOnNext(s -> controllerLink = link)
                 .onErrorResume(PeerException.class, e -> {
-                    LOG.debugf("load: no sums, %s", e.getMessage());
+                    LOG.debugf("load: no totals received, %s", e.getMessage());
                     return Mono.empty();
                 })
-                .switchIfEmpty(Mono.fromRunnable(() -> forget(link)));
+                .switchIfEmpty(Mono.fromRunnable(() -> clearController(link)));
     }
 
-    private void forget(PeerLink link) {
-        if (link == controls) {
-            controls = null;
+    private void clearController(PeerLink link) {
+        if (link == controllerLink) {
+            controllerLink = null;
         }
     }
 
--- a/serving/src/main/java/org/hallwall/serving/relay/PermitExchange.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/PermitExchange.java
@@ -39,17 +39,17 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Asks the control instance that controls the groups for permits. It sends something only while there are targets with a rate limit and
- * requests for them, one call at a time. It runs on the I/O thread.
+ * Requests permits from the group controller, one call at a time, while there are requests for targets with a rate
+ * limit. Runs on the I/O thread.
  */
 final class PermitExchange implements Closeable {
 
     private static final Logger LOG = Logger.getLogger(PermitExchange.class);
-    /** The shortest time between two calls, in milliseconds; what comes up meanwhile shares the next one. */
-    private static final long PACE_MILLIS = 50;
+    /** Minimum interval between calls, in milliseconds; demand in between is batched. */
+    private static final long MIN_INTERVAL_MILLIS = 50;
 
-    /** The shortest time after a call that nobody has answered, in milliseconds. */
-    private static final long FAILED_PACE_MILLIS = 200;
+    /** Minimum interval after a call without a response, in milliseconds. */
+    private static final long MIN_INTERVAL_AFTER_FAILURE_MILLIS = 200;
 
     private static final Duration TIMEOUT = Duration.ofMillis(400);
 
@@ -57,9 +57,9 @@
     private final EntryPermits permits;
     private final Supplier<Collection<PeerLink>> controllers;
     private final Ticker ticker;
-    private ScheduledFuture<?> planned;
-    private long plannedAt;
-    private boolean asking;
+    private ScheduledFuture<?> scheduledCall;
+    private long scheduledAt;
+    private boolean callInProgress;
     private boolean closed;
     private long notBefore;
 
@@ -71,68 +71,70 @@
         this.notBefore = ticker.millis();
     }
 
-    /** Plans the next call if there is something to ask; called by any thread. */
-    void wake() {
+    /** Schedules the next call if permits are needed. Thread-safe. */
+    void trigger() {
         if (loop.inEventLoop()) {
-            plan();
+            scheduleNext();
         } else {
-            loop.execute(this::plan);
+            loop.execute(this::scheduleNext);
         }
     }
 
-    private void plan() {
+    private void scheduleNext() {
         long due = permits.dueMillis();
-        if (asking || closed || due < 0) {
+        if (callInProgress || closed || due < 0) {
             return;
         }
         long now = ticker.millis();
         long at = Math.max(now + due, notBefore);
-        if (planned != null && plannedAt <= at) {
+        if (scheduledCall != null && scheduledAt <= at) {
             return;
         }
-        if (planned != null) {
-            planned.cancel(false);
+        if (scheduledCall != null) {
+            scheduledCall.cancel(false);
         }
-        plannedAt = at;
-        planned = loop.schedule(this::askNow, at - now, TimeUnit.MILLISECONDS);
+        scheduledAt = at;
+        scheduledCall = loop.schedule(this::sendRequest, at - now, TimeUnit.MILLISECONDS);
     }
 
-    private void askNow() {
-        planned = null;
+    private void sendRequest() {
+        scheduledCall = null;
         long now = ticker.millis();
         List<PermitAsk> asks = permits.asks();
         if (asks.isEmpty() || closed) {
-            plan();
+            scheduleNext();
             return;
         }
-        asking = true;
-        notBefore = now + FAILED_PACE_MILLIS;
+        callInProgress = true;
+        notBefore = now + MIN_INTERVAL_AFTER_FAILURE_MILLIS;
         Flux.fromIterable(controllers.get())
-                .flatMap(l -> ask(l, asks))
+                .flatMap(l -> requestPermits(l, asks))
                 .next()
-                .doFinally(s -> loop.execute(this::done))
-                .subscribe(p -> loop.execute(() -> take(p, now)), e -> LOG.errorf(e, "permits: the exchange failed"));
+                .doFinally(s -> loop.execute(this::callCompleted))
+                .subscribe(
+                        p -> loop.execute(() -> applyPermits(p, now)),
+                        e -> LOG.errorf(e, "permits: the exchange failed"));
     }
 
-    /** Gives the grants of a control instance that controls the groups; all others give none. */
-    private static Mono<Permits> ask(PeerLink link, List<PermitAsk> asks) {
+    /** Requests grants; empty if the control instance is not the group controller. */
+    private static Mono<Permits> requestPermits(PeerLink link, List<PermitAsk> asks) {
         return link.call(new PermitRequest(asks), TIMEOUT)
                 .cast(Permits.class)
                 .filter(Permits::controls)
                 .onErrorResume(PeerException.class, e -> {
-                    LOG.debugf("permits: no answer, %s", e.getMessage());
+                    LOG.debugf("permits: no response, %s", e.getMessage());
                     return Mono.empty();
                 });
     }
 
-    private void take(Permits answer, long askedAt) {
-        notBefore = askedAt + PACE_MILLIS;
-        permits.take(answer.grants(), askedAt);
+    private void applyPermits(Permits response, long sentAt) {
+        notBefore = sentAt + MIN_INTERVAL_MILLIS;
+        permits.take(response.grants(), sentAt);
     }
 
-    private void done() {
-        asking = false;
-        plan();
+    private void callCompleted() {
+        callInProgress = false;
+        scheduleNext();
     }
 
     @Override
--- a/serving/src/main/java/org/hallwall/serving/relay/RelayContext.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/RelayContext.java
@@ -22,49 +22,49 @@
 import org.hallwall.serving.crash.CrashWatch;
 
 /**
- * What the runs of requests share.
+ * The components shared by all requests.
  *
- * @param state what the entry believes
- * @param candidates lists the targets that a request may go to now
- * @param balancer chooses among them
- * @param client speaks to targets
- * @param budget bounds repeats
- * @param headers copies headers
- * @param names the names of the headers
- * @param stalled judges heads whose streams stand still
- * @param admission bounds the streams in progress
- * @param watch looks at streams in progress
- * @param counters counts outcomes
- * @param crashes holds requests back that end targets
+ * @param state the active configuration and targets
+ * @param candidates lists the targets that are available for a request
+ * @param balancer selects a target
+ * @param client sends requests to targets
+ * @param retryBudget limits retries
+ * @param forwardedHeaders copies the headers to forward
+ * @param headerNames the header names
+ * @param stalledHeads decides about heads whose streams have stalled
+ * @param admission limits concurrent streams
+ * @param streamMonitor checks active streams periodically
+ * @param metrics the metrics
+ * @param crashWatch blocks requests that crash targets
  * @param ticker the clock
  */
 public record RelayContext(
         EntryState state,
-        Candidates candidates,
+        CandidateTargets candidates,
         Balancer balancer,
         TargetClient client,
-        RetryBudget budget,
-        ForwardedHeaders headers,
-        HeaderNames names,
-        StalledHeads stalled,
-        Admission admission,
-        StreamWatch watch,
-        RelayCounts counters,
-        CrashWatch crashes,
+        RetryBudget retryBudget,
+        ForwardedHeaders forwardedHeaders,
+        HeaderNames headerNames,
+        StalledHeads stalledHeads,
+        AdmissionControl admission,
+        StreamMonitor streamMonitor,
+        RelayMetrics metrics,
+        CrashWatch crashWatch,
         Ticker ticker) {
 
-    /** When a caller retries whose request found no target, in milliseconds: about the time in which a group is repaired. */
-    static final long RETRY_AFTER_MILLIS = 250;
+    /** Retry-After if no target is available, in milliseconds; about the time to repair a group. */
+    static final long NO_TARGET_RETRY_AFTER_MILLIS = 250;
     /**
-     * When a caller retries whose request found all groups full, in milliseconds: a stream's life, and the time in which lost
-     * groups are formed again. Callers wait up to a third of the time they have left.
+     * Retry-After if all groups are full, in milliseconds; about the duration of a stream. Clients wait for at most a
+     * third of their remaining time.
      */
-    static final long FULL_RETRY_AFTER_MILLIS = 1_200;
+    static final long OVERLOAD_RETRY_AFTER_MILLIS = 1_200;
 
     /**
-     * Gives the time.
+     * Returns the current time.
      *
-     * @return the clock in milliseconds
+     * @return the clock reading, in milliseconds
      */
     long now() {
         return ticker.millis();
--- a/serving/src/main/java/org/hallwall/serving/relay/RelayCounts.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/RelayMetrics.java
@@ -22,26 +22,26 @@
 import io.prometheus.metrics.core.metrics.Histogram;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 
-/** Counts what became of requests. */
-public final class RelayCounts {
+/** Metrics of relayed requests. */
+public final class RelayMetrics {
 
-    private static final double MILLIS_A_SECOND = 1_000.0;
+    private static final double MILLIS_PER_SECOND = 1_000.0;
 
-    private final Counter answers;
+    private final Counter responses;
     private final Counter attempts;
     private final Counter refusals;
     private final Counter sends;
-    private final Counter resends;
-    private final Counter heldBack;
+    private final Counter retryDecisions;
+    private final Counter heldBackRequests;
     private final Histogram firstByte;
 
     /**
-     * Creates the counters.
+     * Registers the metrics.
      *
-     * @param registry where they are registered
+     * @param registry the registry
      */
-    public RelayCounts(PrometheusRegistry registry) {
-        answers = Counter.builder()
+    public RelayMetrics(PrometheusRegistry registry) {
+        responses = Counter.builder()
                 .name("hallwall_relay_answers")
                 .help("Answers passed on whole, by status")
                 .labelNames("status")
@@ -61,12 +61,12 @@
                 .help("Requests sent to targets, by service and by whether they were sent before")
                 .labelNames("service", "turn")
                 .register(registry);
-        resends = Counter.builder()
+        retryDecisions = Counter.builder()
                 .name("hallwall_relay_resends")
                 .help("Failed attempts, by service and by what became of the request")
                 .labelNames("service", "decision")
                 .register(registry);
-        heldBack = Counter.builder()
+        heldBackRequests = Counter.builder()
                 .name("hallwall_relay_held_back")
                 .help("Requests refused because targets have ended under them, by service")
                 .labelNames("service")
@@ -78,31 +78,31 @@
                 .register(registry);
     }
 
-    void answer(int status) {
-        answers.labelValues(Integer.toString(status)).inc();
+    void countResponse(int status) {
+        responses.labelValues(Integer.toString(status)).inc();
     }
 
-    void attempt(String outcome) {
+    void countAttempt(String outcome) {
         attempts.labelValues(outcome).inc();
     }
 
-    void send(String service, boolean repeat) {
-        sends.labelValues(service, repeat ? "repeat" : "first").inc();
+    void countSend(String service, boolean isRetry) {
+        sends.labelValues(service, isRetry ? "repeat" : "first").inc();
     }
 
-    void resend(String service, Resend decision) {
-        resends.labelValues(service, decision.label()).inc();
+    void countRetryDecision(String service, RetryDecision decision) {
+        retryDecisions.labelValues(service, decision.label()).inc();
     }
 
-    void heldBack(String service) {
-        heldBack.labelValues(service).inc();
+    void countHeldBack(String service) {
+        heldBackRequests.labelValues(service).inc();
     }
 
-    void refusal(int status) {
+    void countRefusal(int status) {
         refusals.labelValues(Integer.toString(status)).inc();
     }
 
-    void first(long millis) {
-        firstByte.observe(millis / MILLIS_A_SECOND);
+    void recordFirstByte(long millis) {
+        firstByte.observe(millis / MILLIS_PER_SECOND);
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/relay/RelayRefusal.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/RelayRefusal.java
@@ -20,7 +20,7 @@
 
 import org.hallwall.core.verdict.Verdict;
 
-/** A request that gets no answer from a target, with the verdict that the caller is told. */
+/** Thrown when a request ends without a response from a target; carries the status and verdict for the client. */
 public class RelayRefusal extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -34,8 +34,8 @@
      *
      * @param status the HTTP status
      * @param verdict whether the request may have run
-     * @param reason why, for the caller and the log
-     * @param retryAfterMillis when to retry, in milliseconds; zero if the caller is not told
+     * @param reason the message for the client and the log
+     * @param retryAfterMillis the Retry-After time, in milliseconds; zero for none
      */
     public RelayRefusal(int status, Verdict verdict, String reason, long retryAfterMillis) {
         super(reason, null, false, false);
@@ -45,10 +45,10 @@
     }
 
     /**
-     * Refuses a request that has not run and may be retried.
+     * Creates a refusal of a request that has not run and may be retried.
      *
-     * @param reason why
-     * @param retryAfterMillis when to retry, in milliseconds
+     * @param reason the message
+     * @param retryAfterMillis the Retry-After time, in milliseconds
      * @return the refusal
      */
     public static RelayRefusal notRun(String reason, long retryAfterMillis) {
@@ -56,21 +56,21 @@
     }
 
     /**
-     * Ends a request by the verdict of its attempts.
+     * Creates the refusal of a request whose attempts have failed.
      *
-     * @param verdict whether it may have run
-     * @param reason why
-     * @param retryAfterMillis when to retry if it has not run, in milliseconds
+     * @param verdict whether the request may have run
+     * @param reason the message
+     * @param retryAfterMillis the Retry-After time if it has not run, in milliseconds
      * @return the refusal
      */
-    public static RelayRefusal after(Verdict verdict, String reason, long retryAfterMillis) {
+    public static RelayRefusal fromVerdict(Verdict verdict, String reason, long retryAfterMillis) {
         return verdict == Verdict.NOT_RUN
                 ? notRun(reason, retryAfterMillis)
                 : new RelayRefusal(502, verdict, reason, 0);
     }
 
     /**
-     * Gives the status.
+     * Returns the status.
      *
      * @return the HTTP status
      */
@@ -79,7 +79,7 @@
     }
 
     /**
-     * Gives the verdict.
+     * Returns the verdict.
      *
      * @return whether the request may have run
      */
@@ -88,9 +88,9 @@
     }
 
     /**
-     * Gives the time to retry.
+     * Returns the Retry-After time.
      *
-     * @return milliseconds; zero if the caller is not told
+     * @return the time in milliseconds; zero for none
      */
     public long retryAfterMillis() {
         return retryAfterMillis;
--- a/serving/src/main/java/org/hallwall/serving/relay/RelayRequest.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/RelayRequest.java
@@ -26,21 +26,21 @@
 import org.hallwall.serving.crash.RequestDigester;
 
 /**
- * A caller's request, read whole.
+ * A client request with its complete body.
  *
- * @param attemptId the caller's id of this attempt
- * @param method the method
- * @param uri the path and query as the caller sent them
- * @param headers the headers for a target, without those of the attempt
+ * @param attemptId the id that the client gave this attempt
+ * @param method the HTTP method
+ * @param uri the path and query, unmodified
+ * @param headers the headers to forward, without those set per attempt
  * @param body the body
  * @param route the route
- * @param service the service that the split has drawn
- * @param model the model that it names, or null
- * @param priority its rank; zero is the highest
- * @param again whether it has likely been refused before
- * @param digest recognises it when it comes again; null if no request is a suspect
- * @param receivedAt the clock when it came, in milliseconds
- * @param deadlineAt the clock when it must have its answer, in milliseconds
+ * @param service the service selected by the weights of the route
+ * @param model the requested model, or null
+ * @param priority the priority; zero is the highest
+ * @param likelyRetry whether the client has likely sent it before
+ * @param digest the digest that identifies retries of the request; null if there are no crash suspects
+ * @param receivedAt the time of arrival, in milliseconds
+ * @param deadlineAt the deadline of the response, in milliseconds
  */
 public record RelayRequest(
         String attemptId,
@@ -52,13 +52,13 @@
         String service,
         String model,
         int priority,
-        boolean again,
+        boolean likelyRetry,
         RequestDigest digest,
         long receivedAt,
         long deadlineAt) {
 
-    /** Copies the request with its digest. */
-    RelayRequest with(RequestDigest known) {
+    /** Returns a copy with a digest. */
+    RelayRequest withDigest(RequestDigest newDigest) {
         return new RelayRequest(
                 attemptId,
                 method,
@@ -69,14 +69,14 @@
                 service,
                 model,
                 priority,
-                again,
-                known,
+                likelyRetry,
+                newDigest,
                 receivedAt,
                 deadlineAt);
     }
 
-    /** Digests what a caller sends again when it retries: the same caller, method, path and body. */
-    RequestDigest digestBy(RequestDigester digester, HeaderNames names) {
+    /** Computes the digest over the parts that a retry repeats: workspace, host, method, path and body. */
+    RequestDigest computeDigest(RequestDigester digester, HeaderNames names) {
         return digester.of(headers.get(names.workspace()), headers.get(HttpHeaderNames.HOST), method.name(), uri, body);
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/relay/RelayServer.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/RelayServer.java
@@ -54,43 +54,46 @@
 import reactor.netty.http.server.HttpServerResponse;
 import reactor.netty.resources.LoopResources;
 
-/** Takes callers' requests and passes them through: configured, routed, identified, read, run, answered. */
+/** HTTP server that authenticates, routes and relays client requests. */
 public final class RelayServer implements Closeable {
 
     private static final Logger LOG = Logger.getLogger(RelayServer.class);
-    /** How long a kept connection of a caller rests; above every limit that a configuration is likely to set. */
-    private static final Duration IDLE = Duration.ofSeconds(60);
-    /** What the decoder takes of a request's head, in bytes; the configuration's lower limit is checked afterwards. */
-    private static final int MOST_HEAD_BYTES = 131_072;
+    /** Idle timeout of client connections; longer than usual route timeouts. */
+    private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(60);
+    /**
+     * Maximum size of a request head in the decoder, in bytes; the lower limit of the configuration is checked
+     * separately.
+     */
+    private static final int MAX_HEAD_BYTES = 131_072;
 
-    /** How long connections may take to close; what is in progress was finished before. */
-    private static final Duration CLOSE = Duration.ofMillis(200);
-    /** When a caller retries whom another entry can serve at once, in milliseconds. */
-    private static final long ELSEWHERE_MILLIS = 20;
+    /** Timeout for closing connections at shutdown. */
+    private static final Duration CLOSE_TIMEOUT = Duration.ofMillis(200);
+    /** Retry-After of requests that another entry can serve immediately, in milliseconds. */
+    private static final long OTHER_ENTRY_RETRY_MILLIS = 20;
 
     private final RelayContext context;
-    private final FirstConfiguration firstConfiguration;
+    private final StartupRetryDelay startupRetryDelay;
     private final AtomicInteger inFlight = new AtomicInteger();
-    private final RetriedRequests retriedRequests = new RetriedRequests();
+    private final RetryDetector retryDetector = new RetryDetector();
     private DisposableServer server;
-    private volatile boolean stopping;
-    private volatile boolean takingNothing;
+    private volatile boolean draining;
+    private volatile boolean rejecting;
 
     /**
-     * Creates the server; {@link #open} opens its port.
+     * Creates a server that is not listening yet; see {@link #open}.
      *
-     * @param context what the runs of requests share
+     * @param context the shared components
      */
     public RelayServer(RelayContext context) {
         this.context = context;
-        this.firstConfiguration = new FirstConfiguration(
+        this.startupRetryDelay = new StartupRetryDelay(
                 context.ticker(), () -> ThreadLocalRandom.current().nextDouble());
     }
 
     /**
-     * Opens the port.
+     * Starts listening.
      *
-     * @param address where callers connect
+     * @param address the listen address
      * @param loops the I/O threads
      * @throws ProgramException if the port cannot be opened
      */
@@ -99,14 +102,14 @@
                 .host(address.host())
                 .port(address.port())
                 .runOn(loops)
-                .idleTimeout(IDLE)
-                .httpRequestDecoder(spec -> spec.maxHeaderSize(MOST_HEAD_BYTES).maxInitialLineLength(MOST_HEAD_BYTES))
+                .idleTimeout(IDLE_TIMEOUT)
+                .httpRequestDecoder(spec -> spec.maxHeaderSize(MAX_HEAD_BYTES).maxInitialLineLength(MAX_HEAD_BYTES))
                 .handle(this::handle);
         server = HttpPorts.bind(http, address);
     }
 
     /**
-     * Gives the port.
+     * Returns the port.
      *
      * @return the port
      */
@@ -115,127 +118,129 @@
     }
 
     /**
-     * Counts the requests in progress.
+     * Returns the number of requests in flight.
      *
-     * @return how many
+     * @return the number of requests
      */
     public int inFlight() {
         return inFlight.get();
     }
 
-    /** From now on answers tell callers to close their connections. */
-    public void beginStop() {
-        stopping = true;
+    /** Closes client connections after each response from now on. */
+    public void beginDrain() {
+        draining = true;
     }
 
-    /** From now on requests are refused as not run: they could not be finished before the process ends. */
-    public void stopTaking() {
-        takingNothing = true;
+    /** Rejects new requests from now on, since they could not complete before the process exits. */
+    public void rejectNewRequests() {
+        rejecting = true;
     }
 
     @Override
     public void close() {
         if (server != null) {
-            server.disposeNow(CLOSE);
+            server.disposeNow(CLOSE_TIMEOUT);
         }
     }
 
     private Publisher<Void> handle(HttpServerRequest req, HttpServerResponse res) {
         inFlight.incrementAndGet();
-        if (stopping) {
+        if (draining) {
             res.keepAlive(false);
         }
-        Mono<Void> answer;
+        Mono<Void> response;
         try {
-            answer = accept(req, res);
+            response = accept(req, res);
         } catch (RelayRefusal e) {
-            answer = refuse(req, res, e);
+            response = sendRefusal(req, res, e);
         }
-        return answer.doFinally(s -> inFlight.decrementAndGet());
+        return response.doFinally(s -> inFlight.decrementAndGet());
     }
 
     private Mono<Void> accept(HttpServerRequest req, HttpServerResponse res) throws RelayRefusal {
-        if (takingNothing) {
-            throw RelayRefusal.notRun("this entry ends", ELSEWHERE_MILLIS);
+        if (rejecting) {
+            throw RelayRefusal.notRun("this entry is shutting down", OTHER_ENTRY_RETRY_MILLIS);
         }
         RouteTable routes = context.state().routes();
         if (routes.configuration().version() == 0) {
-            throw RelayRefusal.notRun("no configuration is known yet", firstConfiguration.retryAfterMillis());
+            throw RelayRefusal.notRun("no configuration has been received yet", startupRetryDelay.retryAfterMillis());
         }
         HttpHeaders headers = req.requestHeaders();
-        checkHead(routes, headers, req.uri());
+        checkHeadSize(routes, headers, req.uri());
         Route route = routes.route(headers.get(HttpHeaderNames.HOST), req.uri());
         if (route == null) {
-            throw new RelayRefusal(404, Verdict.NOT_RUN, "no route takes this path", 0);
+            throw new RelayRefusal(404, Verdict.NOT_RUN, "no route matches this path", 0);
         }
-        WorkspaceKeys workspace = routes.workspace(headers.get(context.names().key()));
+        WorkspaceKeys workspace =
+                routes.workspace(headers.get(context.headerNames().key()));
         if (workspace == null && routes.needsKeys() && !route.anonymous()) {
-            throw new RelayRefusal(401, Verdict.NOT_RUN, "the key is unknown", 0);
+            throw new RelayRefusal(401, Verdict.NOT_RUN, "unknown key", 0);
         }
-        String attemptId = headers.get(context.names().attemptId());
+        String attemptId = headers.get(context.headerNames().attemptId());
         if (attemptId == null || attemptId.isEmpty()) {
-            throw new RelayRefusal(400, Verdict.NOT_RUN, "the request names no attempt", 0);
+            throw new RelayRefusal(400, Verdict.NOT_RUN, "the request has no attempt id", 0);
         }
         long now = context.now();
-        long callersTime = callersTime(headers, route);
-        boolean again = retriedRequests.isRetry(route, callersTime);
-        long deadlineAt = now + Math.min(route.timeoutMillis(), callersTime);
-        int most = routes.configuration().limits().bodyBytes();
+        long timeoutMillis = callerTimeoutMillis(headers, route);
+        boolean likelyRetry = retryDetector.isRetry(route, timeoutMillis);
+        long deadlineAt = now + Math.min(route.timeoutMillis(), timeoutMillis);
+        int maxBodyBytes = routes.configuration().limits().bodyBytes();
         String service = route.service(ThreadLocalRandom.current().nextDouble());
-        context.budget().request(service);
-        return read(req, most)
-                .map(body -> identified(new RelayRequest(
+        context.retryBudget().recordRequest(service);
+        return readBody(req, maxBodyBytes)
+                .map(body -> withDigest(new RelayRequest(
                         attemptId,
                         req.method(),
                         req.uri(),
-                        context.headers().request(headers, workspace == null ? null : workspace.name()),
+                        context.forwardedHeaders().forRequest(headers, workspace == null ? null : workspace.name()),
                         body,
                         route,
                         service,
-                        headers.get(context.names().model()),
+                        headers.get(context.headerNames().model()),
                         workspace == null || workspace.priority() == null ? route.priority() : workspace.priority(),
-                        again,
+                        likelyRetry,
                         null,
                         now,
                         deadlineAt)))
-                .flatMap(this::unlessHeldBack)
-                .flatMap(r -> route.kind() == RequestKind.STREAM ? stream(req, res, r) : plain(req, res, r))
-                .onErrorResume(RelayRefusal.class, e -> refuse(req, res, e));
+                .flatMap(this::rejectIfHeldBack)
+                .flatMap(
+                        r -> route.kind() == RequestKind.STREAM ? relayStream(req, res, r) : relayBuffered(req, res, r))
+                .onErrorResume(RelayRefusal.class, e -> sendRefusal(req, res, e));
     }
 
-    /** Digests a request while any is a suspect; otherwise it is not needed. */
-    private RelayRequest identified(RelayRequest r) {
-        CrashWatch crashes = context.crashes();
-        return crashes.isWatching() ? r.with(r.digestBy(crashes.digester(), context.names())) : r;
+    /** Computes the digest of the request if there are crash suspects. */
+    private RelayRequest withDigest(RelayRequest r) {
+        CrashWatch crashes = context.crashWatch();
+        return crashes.isWatching() ? r.withDigest(r.computeDigest(crashes.digester(), context.headerNames())) : r;
     }
 
     /**
-     * A request under which targets have ended is refused before it is queued. It has not run, and its caller is told when it may be
-     * tried; coming back earlier buys nothing.
+     * Rejects a request that is held back because it has crashed targets. Retry-After carries the time of the next
+     * permitted trial.
      */
-    private Mono<RelayRequest> unlessHeldBack(RelayRequest r) {
-        return context.crashes()
+    private Mono<RelayRequest> rejectIfHeldBack(RelayRequest r) {
+        return context.crashWatch()
                 .holdBackMillis(r.digest())
                 .flatMap(millis -> {
-                    context.counters().heldBack(r.service());
+                    context.metrics().countHeldBack(r.service());
                     return Mono.<RelayRequest>error(
-                            RelayRefusal.notRun(context.crashes().describe(r.digest()), millis));
+                            RelayRefusal.notRun(context.crashWatch().describe(r.digest()), millis));
                 })
                 .defaultIfEmpty(r);
     }
 
-    private static void checkHead(RouteTable routes, HttpHeaders headers, String uri) throws RelayRefusal {
+    private static void checkHeadSize(RouteTable routes, HttpHeaders headers, String uri) throws RelayRefusal {
         int size = uri.length();
         for (Map.Entry<String, String> h : headers) {
             size += h.getKey().length() + h.getValue().length() + 4;
         }
         if (size > routes.configuration().limits().headerBytes()) {
-            throw new RelayRefusal(431, Verdict.NOT_RUN, "the head is too large", 0);
+            throw new RelayRefusal(431, Verdict.NOT_RUN, "the request head is too large", 0);
         }
     }
 
-    private long callersTime(HttpHeaders headers, Route route) {
-        String text = headers.get(context.names().deadlineMillis());
+    private long callerTimeoutMillis(HttpHeaders headers, Route route) {
+        String text = headers.get(context.headerNames().deadlineMillis());
         if (text == null) {
             return route.timeoutMillis();
         }
@@ -246,94 +251,98 @@
         }
     }
 
-    private static Mono<byte[]> read(HttpServerRequest req, int most) {
+    private static Mono<byte[]> readBody(HttpServerRequest req, int maxBytes) {
         String length = req.requestHeaders().get(HttpHeaderNames.CONTENT_LENGTH);
-        if (length != null && length.length() > 9 || length != null && Long.parseLong(length) > most) {
-            return Mono.error(new RelayRefusal(413, Verdict.NOT_RUN, "the body is too large", 0));
+        if (length != null && length.length() > 9 || length != null && Long.parseLong(length) > maxBytes) {
+            return Mono.error(new RelayRefusal(413, Verdict.NOT_RUN, "the request body is too large", 0));
         }
         return req.receive()
                 .asByteArray()
-                .collect(ByteArrayOutputStream::new, (out, piece) -> {
-                    if (out.size() + piece.length > most) {
-                        throw Exceptions.propagate(new RelayRefusal(413, Verdict.NOT_RUN, "the body is too large", 0));
+                .collect(ByteArrayOutputStream::new, (out, chunk) -> {
+                    if (out.size() + chunk.length > maxBytes) {
+                        throw Exceptions.propagate(
+                                new RelayRefusal(413, Verdict.NOT_RUN, "the request body is too large", 0));
                     }
-                    out.writeBytes(piece);
+                    out.writeBytes(chunk);
                 })
                 .map(ByteArrayOutputStream::toByteArray)
                 .onErrorMap(Exceptions::unwrap);
     }
 
-    private Mono<Void> plain(HttpServerRequest req, HttpServerResponse res, RelayRequest r) {
-        context.candidates().arrived(r);
-        return new PlainRun(context, r).start().takeUntilOther(closed(req)).flatMap(a -> {
-            context.counters().answer(a.status());
-            context.counters().first(context.now() - r.receivedAt());
-            return whole(res, a);
-        });
+    private Mono<Void> relayBuffered(HttpServerRequest req, HttpServerResponse res, RelayRequest r) {
+        context.candidates().recordArrival(r);
+        return new BufferedRun(context, r)
+                .start()
+                .takeUntilOther(whenClosed(req))
+                .flatMap(a -> {
+                    context.metrics().countResponse(a.status());
+                    context.metrics().recordFirstByte(context.now() - r.receivedAt());
+                    return sendBuffered(res, a);
+                });
     }
 
-    private Mono<Void> stream(HttpServerRequest req, HttpServerResponse res, RelayRequest r) {
+    private Mono<Void> relayStream(HttpServerRequest req, HttpServerResponse res, RelayRequest r) {
         Channel channel = channel(req);
-        Candidates candidates = context.candidates();
-        candidates.arrived(r);
-        List<ServingTarget> targets = candidates.of(r);
-        if (targets.isEmpty() && candidates.serveLater(r)) {
-            context.admission().refuse(r);
+        CandidateTargets candidates = context.candidates();
+        candidates.recordArrival(r);
+        List<ServingTarget> targets = candidates.available(r);
+        if (targets.isEmpty() && candidates.hasServingTargets(r)) {
+            context.admission().recordRefusal(r);
             return Mono.error(RelayRefusal.notRun(candidates.describe(r), candidates.retryAfterMillis(r)));
         }
-        boolean permitted = context.balancer().chooseWithRoom(candidates.limited(targets), Set.of()) != null;
-        AdmissionWindow window = context.admission().enter(r, candidates.unlimited(targets), permitted);
+        boolean permitted = context.balancer().chooseWithFreeSlot(candidates.withRateLimit(targets), Set.of()) != null;
+        AdmissionWindow window = context.admission().tryAdmit(r, candidates.withoutRateLimit(targets), permitted);
         if (window == null) {
             String reason = context.admission().describe(r, targets);
-            return Mono.error(RelayRefusal.notRun(reason, RelayContext.FULL_RETRY_AFTER_MILLIS));
+            return Mono.error(RelayRefusal.notRun(reason, RelayContext.OVERLOAD_RETRY_AFTER_MILLIS));
         }
         StreamRun run = new StreamRun(
                 context,
                 r,
                 window,
                 channel.eventLoop(),
-                r.headers().get(context.names().lastEventId()));
-        GenericFutureListener<Future<Void>> left = f -> run.cancel();
-        channel.closeFuture().addListener(left);
+                r.headers().get(context.headerNames().lastEventId()));
+        GenericFutureListener<Future<Void>> onClose = f -> run.cancel();
+        channel.closeFuture().addListener(onClose);
         return run.start()
                 .flatMap(h -> {
                     if (h.body() != null) {
-                        return whole(res, new WholeAnswer(h.status(), h.headers(), h.body()));
+                        return sendBuffered(res, new BufferedResponse(h.status(), h.headers(), h.body()));
                     }
                     res.status(h.status());
-                    res.headers(copy(res, h.headers()));
+                    res.headers(copyHeaders(res, h.headers()));
                     Flux<ByteBuf> events = run.events().doOnError(e -> channel.close());
                     return res.send(events, b -> true).then();
                 })
                 .doOnCancel(run::cancel)
                 .doFinally(s -> {
-                    context.admission().leave(window, r);
-                    channel.closeFuture().removeListener(left);
+                    context.admission().release(window, r);
+                    channel.closeFuture().removeListener(onClose);
                 });
     }
 
-    private static HttpHeaders copy(HttpServerResponse res, HttpHeaders from) {
-        HttpHeaders own = res.responseHeaders();
-        from.forEach(h -> own.add(h.getKey(), h.getValue()));
-        return own;
+    private static HttpHeaders copyHeaders(HttpServerResponse res, HttpHeaders from) {
+        HttpHeaders out = res.responseHeaders();
+        from.forEach(h -> out.add(h.getKey(), h.getValue()));
+        return out;
     }
 
-    private static Mono<Void> whole(HttpServerResponse res, WholeAnswer a) {
+    private static Mono<Void> sendBuffered(HttpServerResponse res, BufferedResponse a) {
         res.status(a.status());
-        copy(res, a.headers());
+        copyHeaders(res, a.headers());
         res.header(HttpHeaderNames.CONTENT_LENGTH, Integer.toString(a.body().length));
         return res.sendByteArray(Mono.just(a.body())).then();
     }
 
-    private Mono<Void> refuse(HttpServerRequest req, HttpServerResponse res, RelayRefusal e) {
+    private Mono<Void> sendRefusal(HttpServerRequest req, HttpServerResponse res, RelayRefusal e) {
         LOG.infof(
                 "request %s: refused with %d, %s: %s (configuration %d)",
-                req.requestHeaders().get(context.names().attemptId()),
+                req.requestHeaders().get(context.headerNames().attemptId()),
                 e.status(),
                 e.verdict(),
                 e.getMessage(),
                 context.state().routes().configuration().version());
-        context.counters().refusal(e.status());
+        context.metrics().countRefusal(e.status());
         if (e.retryAfterMillis() > 0) {
             res.header(HttpHeaderNames.RETRY_AFTER, Double.toString(e.retryAfterMillis() / 1_000.0));
         }
@@ -344,12 +353,12 @@
         return res.sendByteArray(Mono.just(body)).then();
     }
 
-    private static Mono<Void> closed(HttpServerRequest req) {
+    private static Mono<Void> whenClosed(HttpServerRequest req) {
         return Mono.create(sink -> {
             Channel channel = channel(req);
-            GenericFutureListener<Future<Void>> left = f -> sink.success();
-            channel.closeFuture().addListener(left);
-            sink.onDispose(() -> channel.closeFuture().removeListener(left));
+            GenericFutureListener<Future<Void>> onClose = f -> sink.success();
+            channel.closeFuture().addListener(onClose);
+            sink.onDispose(() -> channel.closeFuture().removeListener(onClose));
         });
     }
 
--- a/serving/src/main/java/org/hallwall/serving/relay/RetryBudget.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/RetryBudget.java
@@ -26,40 +26,41 @@
 import org.hallwall.core.time.Ticker;
 
 /**
- * Bounds how often requests are sent again, for each service by itself: in any window the entries together send at most a part of
- * the service's requests again, and some more. A service in trouble is not to be buried under retries that others pay for.
+ * Retry budget per service: in any window, the entries together send at most a fraction of the requests of the service
+ * plus a fixed number of retries. Requests of one service do not pay for the retries of another.
  *
- * <p>Each entry spends for its own requests, and an equal share of what is allowed besides. Used on the I/O thread only.
+ * <p>Each entry spends the fraction of its own requests and an equal share of the fixed number. Confined to the I/O
+ * thread.
  */
 public final class RetryBudget {
 
     /**
-     * The part of the bound that is spent. The rest covers requests that callers sent in the window and that are read here after
-     * its end, and entries whose counts of each other differ for a moment.
+     * Fraction of the bound that is used. The margin covers requests that are read after the end of the window in which
+     * they were sent, and differing entry counts.
      */
-    private static final double SPENT_PART = 0.9;
+    private static final double USABLE_FRACTION = 0.9;
 
     /**
-     * How long the highest number of entries is remembered, in milliseconds. It outlasts a cut in which an entry hears only a control
-     * instance that counts fewer, and a wave of restarts; entries that have left for good leave their share unused meanwhile.
+     * Retention time of the highest entry count, in milliseconds. Outlasts network partitions and rolling restarts,
+     * during which fewer entries are counted; the share of removed entries stays unused meanwhile.
      */
-    private static final long PEAK_MILLIS = 3_600_000;
+    private static final long ENTRY_PEAK_MILLIS = 3_600_000;
 
     private final double ratio;
     private final double extra;
     private final long windowMillis;
     private final Ticker ticker;
-    private final Map<String, RetryAccount> accounts = new HashMap<>();
-    private final RecentPeak entries;
-    private final long sharesFrom;
+    private final Map<String, RetryWindow> windows = new HashMap<>();
+    private final RecentPeak entryPeak;
+    private final long extraFrom;
 
     /**
-     * Creates a budget; until the number of entries is known, it allows no more than what requests pay for.
+     * Creates a budget. Until the number of entries is known, only the fraction of the requests is allowed.
      *
-     * @param ratio retries allowed for each request of a service
-     * @param extra retries allowed besides for each service, over the whole system
+     * @param ratio retries allowed per request of a service
+     * @param extra additional retries allowed per service and window, over all entries
      * @param windowMillis the window, in milliseconds
-     * @param firstStart whether no entry ran before, so that nothing can have been spent
+     * @param firstStart whether this is the first start, so that no retries can have been spent
      * @param ticker the clock
      */
     public RetryBudget(double ratio, double extra, long windowMillis, boolean firstStart, Ticker ticker) {
@@ -67,64 +68,63 @@
         this.extra = extra;
         this.windowMillis = windowMillis;
         this.ticker = ticker;
-        this.entries = new RecentPeak(PEAK_MILLIS, ticker);
-        // an entry that starts again doesn't know what it spent before; its share comes back when no window holds that
-        // any more
-        this.sharesFrom = ticker.millis() + (firstStart ? 0 : windowMillis + RetryAccount.lateMillis(windowMillis));
+        this.entryPeak = new RecentPeak(ENTRY_PEAK_MILLIS, ticker);
+        // the retries before a restart are unknown; the share is restored when no window contains them any more
+        this.extraFrom = ticker.millis() + (firstStart ? 0 : windowMillis + RetryWindow.deliveryMillis(windowMillis));
     }
 
     /**
-     * Tells how many entries share the budget.
+     * Records the number of entries that share the budget.
      *
-     * @param most the most that there were lately, as a control instance knows; zero if it does not
+     * @param most the highest recent number of entries; zero if unknown
      */
-    public void entries(int most) {
-        entries.note(most);
+    public void recordEntryCount(int most) {
+        entryPeak.note(most);
     }
 
     /**
-     * Counts a request of a caller.
+     * Counts a client request.
      *
-     * @param service the service that it goes to
+     * @param service the service of the request
      */
-    public void request(String service) {
-        account(service).request(ticker.millis());
+    public void recordRequest(String service) {
+        window(service).recordRequest(ticker.millis());
     }
 
     /**
-     * Takes a retry if the budget allows it.
+     * Acquires a retry if the budget allows it.
      *
-     * @param service the service that the request goes to
-     * @return true if the request may be sent again
+     * @param service the service of the request
+     * @return true if the request may be retried
      */
     public boolean tryRetry(String service) {
-        return account(service).tryRetry(ticker.millis(), ratio * SPENT_PART, share());
+        return window(service).tryRetry(ticker.millis(), ratio * USABLE_FRACTION, extraShare());
     }
 
     /**
-     * Tells an account, for logs: what was spent, and what bounds it.
+     * Describes the usage and the limit of the budget, for logs.
      *
      * @param service the service
-     * @return the account in words
+     * @return the description
      */
     String describe(String service) {
         long now = ticker.millis();
-        RetryAccount a = account(service);
+        RetryWindow window = window(service);
         return String.format(
                 Locale.ROOT,
-                "%s: %d retries for %d requests in the window, %.1f besides",
+                "%s: %d retries for %d requests in the window, %.1f extra",
                 service,
-                a.retries(now),
-                a.requests(now),
-                share());
+                window.retries(now),
+                window.requests(now),
+                extraShare());
     }
 
-    private double share() {
-        int count = entries.highest();
-        return count == 0 || ticker.millis() < sharesFrom ? 0 : extra / count * SPENT_PART;
+    private double extraShare() {
+        int count = entryPeak.highest();
+        return count == 0 || ticker.millis() < extraFrom ? 0 : extra / count * USABLE_FRACTION;
     }
 
-    private RetryAccount account(String service) {
-        return accounts.computeIfAbsent(service, s -> new RetryAccount(windowMillis));
+    private RetryWindow window(String service) {
+        return windows.computeIfAbsent(service, s -> new RetryWindow(windowMillis));
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/relay/Resend.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/RetryDecision.java
@@ -20,33 +20,33 @@
 
 import java.util.Locale;
 
-/** What becomes of a request after an attempt at a target has failed. */
-enum Resend {
-    /** Its kind or its number of attempts does not allow another. */
-    NOT_ALLOWED(false, "may not be sent again"),
-    /** The attempt reached no target, so another one is no repeat. */
-    UNCHARGED(true, "is sent again without a charge"),
-    /** The retry budget pays for another attempt. */
-    GRANTED(true, "is sent again on the budget"),
-    /** The retry budget is spent. */
-    REFUSED(false, "is not sent again, the budget is spent"),
-    /** Targets have ended under it, and one more would likely end too. */
-    HELD_BACK(false, "is held back, targets have ended under it");
+/** Decision whether a request is retried after a failed attempt. */
+enum RetryDecision {
+    /** The request kind or the number of attempts does not permit a retry. */
+    NOT_ALLOWED(false, "not retryable"),
+    /** The attempt reached no target, so the next one is not charged to the budget. */
+    UNCHARGED(true, "retried without charge"),
+    /** The retry is charged to the budget. */
+    GRANTED(true, "retried on the budget"),
+    /** The retry budget is exhausted. */
+    REFUSED(false, "not retried, the retry budget is exhausted"),
+    /** The request has crashed targets and would likely crash another one. */
+    HELD_BACK(false, "not retried, the request has crashed targets");
 
-    private final boolean sent;
+    private final boolean retry;
     private final String text;
 
-    Resend(boolean sent, String text) {
-        this.sent = sent;
+    RetryDecision(boolean retry, String text) {
+        this.retry = retry;
         this.text = text;
     }
 
-    /** Says whether the request is sent again. */
-    boolean isSent() {
-        return sent;
+    /** Returns whether the request is retried. */
+    boolean isRetry() {
+        return retry;
     }
 
-    /** Gives the name in figures. */
+    /** Returns the label in metrics. */
     String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/serving/src/main/java/org/hallwall/serving/relay/RetriedRequests.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/RetryDetector.java
@@ -24,26 +24,25 @@
 import org.hallwall.serving.config.Route;
 
 /**
- * Recognises requests that were refused before and are retried: their caller has less time left than a first attempt has. Used on
- * the I/O thread only.
+ * Detects retries of refused requests by their shorter remaining time. Confined to the I/O thread.
  */
-final class RetriedRequests {
+final class RetryDetector {
 
-    /** A request with less than this part of the usual time has been here or at another entry before. */
-    private static final double USUAL_PART = 0.97;
+    /** Fraction of the usual time below which a request counts as a retry. */
+    private static final double RETRY_FRACTION = 0.97;
 
-    private final Map<String, Long> longest = new HashMap<>();
+    private final Map<String, Long> longestTimeouts = new HashMap<>();
 
     /**
-     * Judges a request.
+     * Returns whether a request is likely a retry.
      *
-     * @param route its route
-     * @param timeMillis the time that its caller has left
+     * @param route the route of the request
+     * @param timeMillis the remaining time of the client, in milliseconds
      * @return true if it is likely a retry
      */
     boolean isRetry(Route route, long timeMillis) {
-        long most = longest.merge(route.name(), timeMillis, Math::max);
-        // a few callers are more patient than others; what the route allows is the usual time then
-        return timeMillis < Math.min(most, route.timeoutMillis()) * USUAL_PART;
+        long longestMillis = longestTimeouts.merge(route.name(), timeMillis, Math::max);
+        // clients with longer timeouts count with the timeout of the route
+        return timeMillis < Math.min(longestMillis, route.timeoutMillis()) * RETRY_FRACTION;
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/relay/ServingTarget.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/ServingTarget.java
@@ -23,32 +23,32 @@
 import org.hallwall.serving.target.GroupMark;
 
 /**
- * A target that requests may go to: a plain one, or the head of a complete group.
+ * A target that can serve requests: a plain target, or the head of a complete group.
  *
- * @param instance the target
- * @param announcement the number of the announcement that this was read from; a later one is higher
- * @param address where it takes requests
- * @param failureDomain its failure domain
- * @param slots how many requests it runs at once
- * @param model the model of its group; null for a plain one
- * @param group its group; null for a plain one
- * @param slowness how much slower it is than others of its kind
+ * @param instance the target instance
+ * @param announcementSequence the sequence number of the announcement; increases with each announcement
+ * @param address the address for requests
+ * @param failureDomain the failure domain
+ * @param slots the number of requests that it runs concurrently
+ * @param model the model of the group; null for a plain target
+ * @param group the group; null for a plain target
+ * @param slowdown the slowdown factor relative to other targets of the model
  */
 public record ServingTarget(
         InstanceId instance,
-        long announcement,
+        long announcementSequence,
         NetAddress address,
         String failureDomain,
         int slots,
         String model,
         GroupMark group,
-        double slowness) {
+        double slowdown) {
 
     /**
-     * Says whether another target is the same one with the same group.
+     * Returns whether another target is the same instance in the same group.
      *
      * @param other the other target
-     * @return true if it is
+     * @return true if instance and group are the same
      */
     public boolean isSame(ServingTarget other) {
         boolean sameGroup = group == null ? other.group == null : group.sameGroup(other.group);
--- a/serving/src/main/java/org/hallwall/serving/relay/ServingTargets.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/ServingTargets.java
@@ -35,30 +35,30 @@
 import org.hallwall.serving.target.GroupState;
 import org.hallwall.serving.target.TargetRecord;
 
-/** Which targets may take requests, judged from what all of them announced; it never changes. */
+/** Immutable set of the targets that can serve requests, derived from the announcements of all targets. */
 public final class ServingTargets {
 
-    /** No targets. */
+    /** The empty set. */
     public static final ServingTargets NONE = new ServingTargets(Map.of(), Map.of());
 
     private final Map<String, List<ServingTarget>> byService;
-    private final Map<InstanceId, GroupMark> openHeads;
+    private final Map<InstanceId, GroupMark> servingHeads;
 
     private ServingTargets(Map<String, List<ServingTarget>> byService, Map<InstanceId, GroupMark> openHeads) {
         this.byService = byService;
-        this.openHeads = openHeads;
+        this.servingHeads = openHeads;
     }
 
     /**
-     * Judges targets.
+     * Derives the serving targets from announcements.
      *
-     * @param configuration the configuration in force
-     * @param records the last announcement of each target
-     * @return the targets that may take requests
+     * @param configuration the active configuration
+     * @param records the latest announcement of each target
+     * @return the targets that can serve requests
      */
     public static ServingTargets of(Configuration configuration, Collection<TargetRecord> records) {
-        Map<String, Integer> present = new HashMap<>();
-        Map<String, Set<String>> domains = new HashMap<>();
+        Map<String, Integer> joinedMembers = new HashMap<>();
+        Map<String, Set<String>> fabricDomains = new HashMap<>();
         Map<InstanceId, GroupMark> heads = new HashMap<>();
         for (TargetRecord r : records) {
             GroupMark m = r.group();
@@ -66,8 +66,8 @@
                 continue;
             }
             if (r.isServing() && m.state().hasJoined()) {
-                present.merge(key(m), 1, Integer::sum);
-                domains.computeIfAbsent(key(m), k -> new HashSet<>()).add(r.fabricDomain());
+                joinedMembers.merge(key(m), 1, Integer::sum);
+                fabricDomains.computeIfAbsent(key(m), k -> new HashSet<>()).add(r.fabricDomain());
             }
             if (m.rank() == 0 && m.state().holdsMembers() && !r.isOver()) {
                 heads.put(r.instance(), m);
@@ -75,7 +75,7 @@
         }
         Map<String, List<ServingTarget>> out = new HashMap<>();
         for (TargetRecord r : records) {
-            ServingTarget t = judge(configuration, r, present, domains);
+            ServingTarget t = toServingTarget(configuration, r, joinedMembers, fabricDomains);
             if (t != null) {
                 out.computeIfAbsent(r.service(), s -> new ArrayList<>()).add(t);
             }
@@ -84,13 +84,13 @@
     }
 
     /**
-     * Lists the targets of a service that serve a model.
+     * Returns the targets of a service that serve a model.
      *
      * @param service the service
-     * @param model the model, or null if the request names none
+     * @param model the model, or null for any
      * @return the targets
      */
-    public List<ServingTarget> of(String service, String model) {
+    public List<ServingTarget> find(String service, String model) {
         List<ServingTarget> out = new ArrayList<>();
         for (ServingTarget t : byService.getOrDefault(service, List.of())) {
             if (t.model() == null || model == null || t.model().equals(model)) {
@@ -101,26 +101,29 @@
     }
 
     /**
-     * Says whether a target still works on requests that it has taken.
+     * Returns whether a target still processes the requests that it has accepted.
      *
      * @param target the target
-     * @return false if its head announced that the group no longer serves
+     * @return false if the head has announced that the group no longer serves
      */
-    public boolean stillWorks(ServingTarget target) {
-        return target.group() == null || target.group().sameGroup(openHeads.get(target.instance()));
+    public boolean isStillServing(ServingTarget target) {
+        return target.group() == null || target.group().sameGroup(servingHeads.get(target.instance()));
     }
 
     /**
-     * Counts the targets.
+     * Returns the number of targets.
      *
-     * @return how many may take requests
+     * @return the number of targets
      */
     public int size() {
         return byService.values().stream().mapToInt(List::size).sum();
     }
 
-    private static ServingTarget judge(
-            Configuration c, TargetRecord r, Map<String, Integer> present, Map<String, Set<String>> domains) {
+    private static ServingTarget toServingTarget(
+            Configuration c,
+            TargetRecord r,
+            Map<String, Integer> joinedMembers,
+            Map<String, Set<String>> fabricDomains) {
         TargetService service = c.services().get(r.service());
         if (service == null || !r.isServing()) {
             return null;
@@ -135,10 +138,10 @@
         if (m == null || model == null || m.rank() != 0 || m.state() != GroupState.OPEN) {
             return null;
         }
-        if (present.getOrDefault(key(m), 0) != model.size()) {
+        if (joinedMembers.getOrDefault(key(m), 0) != model.size()) {
             return null;
         }
-        double slowness = domains.get(key(m)).size() > 1 ? spec.farFactor() : 1;
+        double slowness = fabricDomains.get(key(m)).size() > 1 ? spec.farFactor() : 1;
         return new ServingTarget(
                 r.instance(), r.sequence(), r.address(), r.failureDomain(), spec.slots(), model.name(), m, slowness);
     }
--- a/serving/src/main/java/org/hallwall/serving/relay/StalledHeads.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/StalledHeads.java
@@ -30,113 +30,119 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Tells heads whose group has lost a member from heads that work long on what they were given. Both look alike to an entry, but
- * a stream that leaves a working head costs its prompt a second time. Used on the I/O thread only.
+ * Distinguishes heads whose group has lost a member from heads that are busy with a long pass. Both are silent, but
+ * moving a stream away from a busy head repeats the prompt. Confined to the I/O thread.
  */
 public final class StalledHeads {
 
     private static final Logger LOG = Logger.getLogger(StalledHeads.class);
     /**
-     * How long the controller's answer is awaited, in milliseconds: three hops, two new connections, and the
-     * scheduling of a control instance that has less than half a core.
+     * Timeout of a query to the controller, in milliseconds; covers three network hops, two new connections and
+     * scheduling delays.
      */
-    private static final long ANSWER_MILLIS = 60;
-    /** How many patiences a stream stays with a head that works: to one and a half of the longest pause. */
-    private static final double WORKING_PATIENCES = 4.5;
-    /** How many patiences a stream stays with a head that nobody can be asked about. */
-    private static final double UNKNOWN_PATIENCES = 2;
-    /** How many patiences a head that has just been found working is silent before it is asked about again. */
-    private static final double AGAIN_PATIENCES = 1.6;
-    /** For how long a head counts as just found working, in milliseconds. */
-    private static final long JUST_MILLIS = 1_000;
-    /** The shortest time between two reports of a group that nobody waits for, in milliseconds. */
-    private static final long REPORT_MILLIS = 300;
-    /** How long a question is remembered, in milliseconds; longer than any silence. */
-    private static final long FORGET_MILLIS = 10_000;
+    private static final long ANSWER_TIMEOUT_MILLIS = 60;
+    /** Stall timeouts after which a stream leaves a busy head; one and a half times the maximum pause. */
+    private static final double WORKING_TIMEOUT_FACTOR = 4.5;
+    /** Stall timeouts after which a stream leaves a head of unknown liveness. */
+    private static final double UNKNOWN_TIMEOUT_FACTOR = 2;
+    /** Stall timeouts before another query about a head that was recently found busy. */
+    private static final double REPEATED_QUERY_FACTOR = 1.6;
+    /** Time for which a head counts as recently found busy, in milliseconds. */
+    private static final long RECENT_ANSWER_MILLIS = 1_000;
+    /** Minimum interval between reports of an unreachable head, in milliseconds. */
+    private static final long MIN_REPORT_INTERVAL_MILLIS = 300;
+    /** Retention time of queries, in milliseconds; longer than any silence. */
+    private static final long QUERY_RETENTION_MILLIS = 10_000;
 
-    private final Function<StalledHead, Mono<GroupLiveness>> controller;
-    private final BooleanSupplier inTouch;
+    private final Function<StalledHead, Mono<GroupLiveness>> queryController;
+    private final BooleanSupplier controllerReachable;
     private final Ticker ticker;
-    private final Map<String, Question> questions = new HashMap<>();
+    private final Map<String, Query> queries = new HashMap<>();
 
     /**
-     * Creates it.
+     * Creates the detector.
      *
-     * @param controller asks the group controller; never an error
-     * @param inTouch whether the group controller has answered anything lately
+     * @param queryController queries the group controller; never fails
+     * @param controllerReachable whether the group controller is reachable
      * @param ticker the clock
      */
-    public StalledHeads(Function<StalledHead, Mono<GroupLiveness>> controller, BooleanSupplier inTouch, Ticker ticker) {
-        this.controller = controller;
-        this.inTouch = inTouch;
+    public StalledHeads(
+            Function<StalledHead, Mono<GroupLiveness>> queryController,
+            BooleanSupplier controllerReachable,
+            Ticker ticker) {
+        this.queryController = queryController;
+        this.controllerReachable = controllerReachable;
         this.ticker = ticker;
     }
 
     /**
-     * Says whether a stream should leave a silent head; the first call of a silence asks the controller.
+     * Returns whether a stream should be moved away from a silent head. The first call of a silence queries the
+     * controller.
      *
      * @param head the head
-     * @param silentSince when it was last heard
-     * @param patienceMillis the silence after which the controller is asked
-     * @return true if it lost a member, or if it is silent for long and nobody knows why
+     * @param silentSince the time of the last event
+     * @param stallTimeoutMillis the silence after which the controller is queried
+     * @return true if the group has lost a member, or if the head is silent for too long
      */
-    boolean shouldLeave(StalledHead head, long silentSince, long patienceMillis) {
+    boolean shouldAbandon(StalledHead head, long silentSince, long stallTimeoutMillis) {
         long now = ticker.millis();
         long silence = now - silentSince;
-        Question q = questions.get(head.group());
-        if (q == null || q.askedAt <= silentSince) {
-            boolean justWorked = q != null && q.answer == GroupLiveness.WORKING && now - q.askedAt < JUST_MILLIS;
-            if (silence > patienceMillis * (justWorked ? AGAIN_PATIENCES : 1)) {
-                ask(head, now);
+        Query q = queries.get(head.group());
+        if (q == null || q.sentAt <= silentSince) {
+            boolean recentlyWorking =
+                    q != null && q.answer == GroupLiveness.WORKING && now - q.sentAt < RECENT_ANSWER_MILLIS;
+            if (silence > stallTimeoutMillis * (recentlyWorking ? REPEATED_QUERY_FACTOR : 1)) {
+                sendQuery(head, now);
             }
             return false;
         }
         switch (q.answer) {
             case WORKING:
-                return silence > patienceMillis * WORKING_PATIENCES;
+                return silence > stallTimeoutMillis * WORKING_TIMEOUT_FACTOR;
             case LOST:
                 return true;
             default:
-                boolean overdue = !q.answered && inTouch.getAsBoolean() && now - q.askedAt >= ANSWER_MILLIS;
-                return overdue || silence > patienceMillis * UNKNOWN_PATIENCES;
+                boolean overdue =
+                        !q.answered && controllerReachable.getAsBoolean() && now - q.sentAt >= ANSWER_TIMEOUT_MILLIS;
+                return overdue || silence > stallTimeoutMillis * UNKNOWN_TIMEOUT_FACTOR;
         }
     }
 
     /**
-     * Reports a head that cannot be reached, and awaits no answer.
+     * Reports an unreachable head without waiting for the response.
      *
      * @param head the head
      */
-    void report(StalledHead head) {
+    void reportUnreachable(StalledHead head) {
         long now = ticker.millis();
-        Question q = questions.get(head.group());
-        if (q == null || now - q.askedAt >= REPORT_MILLIS) {
-            ask(head, now);
+        Query q = queries.get(head.group());
+        if (q == null || now - q.sentAt >= MIN_REPORT_INTERVAL_MILLIS) {
+            sendQuery(head, now);
         }
     }
 
-    private void ask(StalledHead head, long now) {
-        questions.values().removeIf(q -> now - q.askedAt > FORGET_MILLIS);
-        Question q = new Question(now);
-        questions.put(head.group(), q);
-        controller.apply(head).defaultIfEmpty(GroupLiveness.UNKNOWN).subscribe(answer -> {
+    private void sendQuery(StalledHead head, long now) {
+        queries.values().removeIf(q -> now - q.sentAt > QUERY_RETENTION_MILLIS);
+        Query q = new Query(now);
+        queries.put(head.group(), q);
+        queryController.apply(head).defaultIfEmpty(GroupLiveness.UNKNOWN).subscribe(answer -> {
             LOG.infof(
-                    "head %s of %s stands still, the controller says %s after %d ms",
+                    "head %s of %s has stalled, the controller reports %s after %d ms",
                     head.head(), head.group(), answer, ticker.millis() - now);
             q.answer = answer;
             q.answered = true;
         });
     }
 
-    /** A question to the controller; the answer comes on another thread. */
-    private static final class Question {
+    /** A query to the controller; the response is set by another thread. */
+    private static final class Query {
 
-        private final long askedAt;
+        private final long sentAt;
         private volatile GroupLiveness answer = GroupLiveness.UNKNOWN;
         private volatile boolean answered;
 
-        Question(long askedAt) {
-            this.askedAt = askedAt;
+        Query(long sentAt) {
+            this.sentAt = sentAt;
         }
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/relay/StreamWatch.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/StreamMonitor.java
@@ -26,43 +26,44 @@
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.ScheduledFuture;
 
-/** Looks at all streams in progress at short intervals with one timer; used on the I/O thread only. */
-public final class StreamWatch {
+/** Runs the periodic checks of all active streams with one timer. Confined to the I/O thread. */
+public final class StreamMonitor {
 
-    /** How often stalled streams are looked for, in milliseconds; a fraction of the shortest patience. */
-    private static final long LOOK_MILLIS = 20;
+    /** Interval between checks, in milliseconds; a fraction of the shortest stall timeout. */
+    private static final long CHECK_INTERVAL_MILLIS = 20;
 
-    private final Set<Runnable> watched = new LinkedHashSet<>();
+    private final Set<Runnable> checks = new LinkedHashSet<>();
     private ScheduledFuture<?> timer;
 
     /**
-     * Begins to look at a stream.
+     * Adds a check.
      *
      * @param loop the I/O thread
-     * @param look called at each interval
+     * @param check the check to run at each interval
      */
-    void add(EventLoop loop, Runnable look) {
-        watched.add(look);
+    void add(EventLoop loop, Runnable check) {
+        checks.add(check);
         if (timer == null) {
-            timer = loop.scheduleAtFixedRate(this::lookAtAll, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+            timer = loop.scheduleAtFixedRate(
+                    this::runChecks, CHECK_INTERVAL_MILLIS, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     /**
-     * Ends to look at a stream.
+     * Removes a check.
      *
-     * @param look what was added
+     * @param check the check to remove
      */
-    void remove(Runnable look) {
-        watched.remove(look);
+    void remove(Runnable check) {
+        checks.remove(check);
     }
 
-    private void lookAtAll() {
-        if (watched.isEmpty()) {
+    private void runChecks() {
+        if (checks.isEmpty()) {
             timer.cancel(false);
             timer = null;
             return;
         }
-        List.copyOf(watched).forEach(Runnable::run);
+        List.copyOf(checks).forEach(Runnable::run);
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/relay/StreamRoom.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/StreamRoom.java
@@ -18,25 +18,25 @@
  */
 package org.hallwall.serving.relay;
 
-/** Says whether the groups of a model have room for one more stream. */
+/** Decides whether the groups of a model have capacity for another stream. */
 public final class StreamRoom {
 
-    /** The part of the slots up to which streams are admitted: above it the next ones would wait for a slot. */
-    private static final double ROOM = 0.95;
-    /** The same for retried streams. */
-    private static final double ROOM_AGAIN = 0.85;
+    /** Maximum utilization of the slots for new streams; above it, further streams would wait for a slot. */
+    private static final double MAX_UTILIZATION = 0.95;
+    /** Maximum utilization of the slots for retried streams. */
+    private static final double MAX_RETRY_UTILIZATION = 0.85;
 
     private StreamRoom() {}
 
     /**
-     * Decides about one stream.
+     * Returns whether another stream can be admitted.
      *
-     * @param running the streams in progress at all groups of its model
-     * @param slots the slots of those groups, fewer for slower ones
-     * @param again whether it is retried after a refusal
-     * @return true if it has room
+     * @param running the active streams at all groups of the model
+     * @param slots the slots of these groups, reduced for slower groups
+     * @param retried whether the stream is retried after a refusal
+     * @return true if there is capacity
      */
-    public static boolean holds(double running, double slots, boolean again) {
-        return running < slots * (again ? ROOM_AGAIN : ROOM);
+    public static boolean holds(double running, double slots, boolean retried) {
+        return running < slots * (retried ? MAX_RETRY_UTILIZATION : MAX_UTILIZATION);
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/relay/StreamRun.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/StreamRun.java
@@ -35,24 +35,27 @@
 import reactor.netty.http.client.HttpClientResponse;
 
 /**
- * Runs one request whose answer is a series of events. Whole events are passed on as they come; when a target breaks off or
- * stands still, another takes the answer up after the last whole event. Everything here happens on one I/O thread.
+ * Relays one request with an event stream response. Complete events are forwarded as they arrive. If a target fails or
+ * stalls, the stream is resumed at another target after the last complete event. Confined to one I/O thread.
  */
 final class StreamRun {
 
     private static final Logger LOG = Logger.getLogger(StreamRun.class);
     private static final String EVENT_STREAM = "text/event-stream";
-    /** The part of the latency objective that a target may take to its first event before its group is asked about. */
-    private static final double FIRST_PATIENCE = 0.4;
-    /** The part of the longest pause that a target may stand still before its group is asked about. */
-    private static final double PAUSE_PATIENCE = 0.33;
-    /** How many usual gaps between a target's events are waited for its first event of a stream, or for a later one. */
-    private static final double FIRST_GAPS = 3;
+    /** Fraction of the latency objective after which a stream without a first event counts as stalled. */
+    private static final double FIRST_EVENT_TIMEOUT_FACTOR = 0.4;
+    /** Fraction of the maximum pause between events after which a stream counts as stalled. */
+    private static final double PAUSE_TIMEOUT_FACTOR = 0.33;
+    /**
+     * Mean gaps between the events of a target to wait for the first event of a stream; {@link #PAUSE_GAPS} for later
+     * ones.
+     */
+    private static final double FIRST_EVENT_GAPS = 3;
 
     private static final double PAUSE_GAPS = 2;
-    private static final long LEAST_PATIENCE_MILLIS = 60;
-    /** How many times the patience a stream stays with a target that is no group's head: nobody can be asked about it. */
-    private static final double ALONE_PATIENCES = 1.5;
+    private static final long MIN_STALL_TIMEOUT_MILLIS = 60;
+    /** Stall timeouts after which a stream leaves a target without a group, whose liveness cannot be queried. */
+    private static final double UNGROUPED_TIMEOUT_FACTOR = 1.5;
 
     private final RelayContext context;
     private final RelayRequest request;
@@ -61,18 +64,18 @@
     private final Sinks.One<Head> head = Sinks.one();
     private final Sinks.Many<ByteBuf> events = Sinks.many().unicast().onBackpressureBuffer();
     private final Attempts attempts;
-    private final Runnable look = this::look;
+    private final Runnable progressCheck = this::checkProgress;
     private Attempt current;
-    private boolean headGiven;
+    private boolean headSent;
     private boolean done;
-    private boolean moving;
+    private boolean retryCharged;
     private String lastEventId;
-    private long lastId = EventCutter.Event.NO_ID;
+    private long lastId = EventStreamDecoder.Event.NO_ID;
     private long progressAt;
-    private int resumed;
+    private int resumptions;
     private long eventCount;
     private long longestPause;
-    private long firstAfter;
+    private long firstEventMillis;
 
     StreamRun(RelayContext context, RelayRequest request, AdmissionWindow window, EventLoop loop, String lastEventId) {
         this.window = window;
@@ -82,333 +85,339 @@
         this.loop = loop;
         this.lastEventId = lastEventId;
         if (lastEventId != null) {
-            lastId = parse(lastEventId);
+            lastId = parseEventId(lastEventId);
         }
     }
 
-    /** Gives the head of the answer, or a {@link RelayRefusal}. */
+    /** Starts the request; emits the response head or a {@link RelayRefusal}. */
     Mono<Head> start() {
         loop.execute(() -> {
             if (!done) {
-                context.watch().add(loop, look);
-                attempt();
+                context.streamMonitor().add(loop, progressCheck);
+                startAttempt();
             }
         });
         return head.asMono();
     }
 
-    /** Gives the events; an error if the answer cannot be finished. */
+    /** Returns the events; terminates with an error if the stream cannot be completed. */
     Flux<ByteBuf> events() {
         return events.asFlux();
     }
 
-    /** Ends the run because the caller has left. */
+    /** Cancels the request because the client has disconnected. */
     void cancel() {
         if (done) {
             return;
         }
         LOG.infof(
-                "request %s: the caller left after %d ms and %d events",
+                "request %s: client disconnected after %d ms and %d events",
                 request.attemptId(), context.now() - request.receivedAt(), eventCount);
         if (current != null) {
-            attempts.left(current.target);
+            attempts.markAbandoned(current.target);
         }
         finish();
     }
 
-    private void attempt() {
+    private void startAttempt() {
         if (done) {
             return;
         }
         long now = context.now();
-        long left = request.deadlineAt() - now;
-        if (left <= 0) {
-            giveUp("its time is over");
+        long remainingMillis = request.deadlineAt() - now;
+        if (remainingMillis <= 0) {
+            abort("the deadline has passed");
             return;
         }
-        ServingTarget target = attempts.next();
+        ServingTarget target = attempts.nextTarget();
         if (target == null) {
-            giveUp(context.candidates().describe(request));
+            abort(context.candidates().describe(request));
             return;
         }
         Attempt a = new Attempt(target, now);
         current = a;
         progressAt = now;
-        a.state.begin();
+        a.state.requestStarted();
         a.subscription = context.client()
-                .send(target, request, lastEventId, left, a::read)
-                .subscribe(a::take, a::fail, a::complete);
+                .send(target, request, lastEventId, remainingMillis, a::readResponse)
+                .subscribe(a::onChunk, a::fail, a::complete);
     }
 
-    /** Looks whether the current target stands still, or has announced that it no longer works. */
-    private void look() {
+    /** Checks the deadline, and whether the current target has stalled or no longer serves. */
+    private void checkProgress() {
         if (done || current == null) {
             return;
         }
         long now = context.now();
         if (now >= request.deadlineAt()) {
-            current.drop();
+            current.cancel();
             attempts.abandon(current.target);
-            giveUp("its time is over");
+            abort("the deadline has passed");
             return;
         }
         Attempt a = current;
-        if (!context.state().targets().stillWorks(a.target)) {
-            a.fail(AttemptFailure.left("the group no longer serves"));
+        if (!context.state().targets().isStillServing(a.target)) {
+            a.fail(AttemptFailure.abandoned("the group no longer serves"));
             return;
         }
-        long seen = Math.max(progressAt, a.state.progressAt());
-        if (now - seen > patience(a) && shouldLeave(a, seen, now) && canMove(a, now)) {
-            moving = true;
-            a.fail(AttemptFailure.left("it stands still for " + (now - seen) + " ms"));
+        long lastProgressAt = Math.max(progressAt, a.state.lastProgressAt());
+        if (now - lastProgressAt > stallTimeoutMillis(a)
+                && shouldAbandon(a, lastProgressAt, now)
+                && canRetryElsewhere(a, now)) {
+            retryCharged = true;
+            a.fail(AttemptFailure.abandoned("no event for " + (now - lastProgressAt) + " ms"));
         }
     }
 
-    private boolean shouldLeave(Attempt a, long seen, long now) {
-        StalledHead head = head(a.target);
-        if (head == null) {
-            return now - seen > patience(a) * ALONE_PATIENCES;
+    private boolean shouldAbandon(Attempt a, long lastProgressAt, long now) {
+        StalledHead stalledHead = toStalledHead(a.target);
+        if (stalledHead == null) {
+            return now - lastProgressAt > stallTimeoutMillis(a) * UNGROUPED_TIMEOUT_FACTOR;
         }
-        return context.stalled().shouldLeave(head, seen, patience(a));
+        return context.stalledHeads().shouldAbandon(stalledHead, lastProgressAt, stallTimeoutMillis(a));
     }
 
-    /** A stalled stream is left only if the route, another target and the budget allow it; waiting costs nothing. */
-    private boolean canMove(Attempt a, long now) {
-        if (!attempts.mayRunAgain()) {
+    /** Returns whether the route, the other targets and the retry budget allow a retry of the stalled stream. */
+    private boolean canRetryElsewhere(Attempt a, long now) {
+        if (!attempts.mayRetry()) {
             return false;
         }
-        ServingTarget other = attempts.other();
+        ServingTarget other = attempts.chooseTarget();
         return other != null
-                && !context.balancer().state(other).isPaused(now)
-                && context.budget().tryRetry(request.service());
+                && !context.balancer().state(other).isEjected(now)
+                && context.retryBudget().tryRetry(request.service());
     }
 
-    private long patience(Attempt a) {
+    private long stallTimeoutMillis(Attempt a) {
         long pause = request.route().pauseMillis();
         boolean first = eventCount == 0 || pause <= 0;
-        double most = first ? request.route().objectiveMillis() * FIRST_PATIENCE : pause * PAUSE_PATIENCE;
-        double usual = a.state.usualGapMillis() * (first ? FIRST_GAPS : PAUSE_GAPS);
-        return Math.max(LEAST_PATIENCE_MILLIS, (long) Math.max(a.state.lateMillis(), Math.max(most, usual)));
+        double limit =
+                first ? request.route().objectiveMillis() * FIRST_EVENT_TIMEOUT_FACTOR : pause * PAUSE_TIMEOUT_FACTOR;
+        double usual = a.state.meanGapMillis() * (first ? FIRST_EVENT_GAPS : PAUSE_GAPS);
+        return Math.max(
+                MIN_STALL_TIMEOUT_MILLIS, (long) Math.max(a.state.lateThresholdMillis(), Math.max(limit, usual)));
     }
 
-    private static StalledHead head(ServingTarget t) {
+    private static StalledHead toStalledHead(ServingTarget t) {
         return t.group() == null
                 ? null
                 : new StalledHead(t.instance(), t.group().name(), t.group().epoch());
     }
 
-    private void failed(Attempt a, AttemptFailure f) {
+    private void attemptFailed(Attempt a, AttemptFailure f) {
         if (f.isUnreachable()) {
             reportUnreachable(a.target);
         }
-        if (attempts.failed(a.target, f, eventCount, moving).isSent()) {
-            moving = false;
-            resumed += f.verdict() == Verdict.NOT_RUN ? 0 : 1;
-            attempt();
+        if (attempts.recordFailure(a.target, f, eventCount, retryCharged).isRetry()) {
+            retryCharged = false;
+            resumptions += f.verdict() == Verdict.NOT_RUN ? 0 : 1;
+            startAttempt();
         } else {
-            giveUp(f.getMessage());
+            abort(f.getMessage());
         }
     }
 
     private void reportUnreachable(ServingTarget t) {
-        StalledHead head = head(t);
-        if (head != null) {
-            context.stalled().report(head);
+        StalledHead stalledHead = toStalledHead(t);
+        if (stalledHead != null) {
+            context.stalledHeads().reportUnreachable(stalledHead);
         }
     }
 
-    private void giveUp(String reason) {
+    private void abort(String reason) {
         if (done) {
             return;
         }
         finish();
-        if (headGiven) {
+        if (headSent) {
             LOG.warnf(
-                    "request %s: broken off after %d events, %d ms: %s",
+                    "request %s: stream aborted after %d events, %d ms: %s",
                     request.attemptId(), eventCount, context.now() - request.receivedAt(), reason);
-            context.counters().refusal(0);
+            context.metrics().countRefusal(0);
             events.tryEmitError(new RelayRefusal(502, Verdict.RAN, reason, 0));
         } else if (attempts.verdict() != Verdict.NOT_RUN && context.now() >= request.deadlineAt()) {
             head.tryEmitError(new RelayRefusal(504, attempts.verdict(), reason, 0));
         } else {
-            head.tryEmitError(RelayRefusal.after(
+            head.tryEmitError(RelayRefusal.fromVerdict(
                     attempts.verdict(), reason, context.candidates().retryAfterMillis(request)));
         }
     }
 
     private void finish() {
         done = true;
-        context.watch().remove(look);
+        context.streamMonitor().remove(progressCheck);
         if (current != null) {
-            current.drop();
+            current.cancel();
         }
     }
 
-    private void completed(Attempt a) {
-        a.state.succeeded();
-        attempts.survived();
-        context.counters().attempt("answered");
+    private void attemptCompleted(Attempt a) {
+        a.state.recordSuccess();
+        attempts.markAnswered();
+        context.metrics().countAttempt("answered");
         finish();
         LOG.infof(
-                "request %s on %s: %d events in %d ms from %s, first after %d ms, longest pause %d ms, %d resumed, %d turned away",
+                "request %s on %s: %d events in %d ms from %s, first after %d ms, longest pause %d ms, %d resumed, %d rejected",
                 request.attemptId(),
                 request.route().name(),
                 eventCount,
                 context.now() - request.receivedAt(),
                 a.target.instance(),
-                firstAfter,
+                firstEventMillis,
                 longestPause,
-                resumed,
-                attempts.turnedAway());
+                resumptions,
+                attempts.rejections());
         events.tryEmitComplete();
     }
 
-    private void deliver(Attempt a, EventCutter.Event e) {
+    private void deliver(Attempt a, EventStreamDecoder.Event e) {
         long now = context.now();
         if (eventCount == 0) {
-            firstAfter = now - request.receivedAt();
-            context.counters().first(firstAfter);
-            if (attempts.ran() == 0) {
-                window.first((double) firstAfter / request.route().objectiveMillis(), now);
+            firstEventMillis = now - request.receivedAt();
+            context.metrics().recordFirstByte(firstEventMillis);
+            if (attempts.runCount() == 0) {
+                window.recordFirstEvent(
+                        (double) firstEventMillis / request.route().objectiveMillis(), now);
             }
         } else {
             longestPause = Math.max(longestPause, now - progressAt);
-            a.state.gap(now - progressAt);
+            a.state.recordGap(now - progressAt);
         }
         progressAt = now;
-        a.state.progress(now);
+        a.state.recordProgress(now);
         eventCount++;
-        if (e.id() != EventCutter.Event.NO_ID) {
+        if (e.id() != EventStreamDecoder.Event.NO_ID) {
             lastId = e.id();
             lastEventId = Long.toString(e.id());
         }
-        if (!headGiven) {
-            headGiven = true;
-            context.counters().answer(a.status);
+        if (!headSent) {
+            headSent = true;
+            context.metrics().countResponse(a.status);
             head.tryEmitValue(new Head(a.status, a.headers, null));
         }
         events.tryEmitNext(Unpooled.wrappedBuffer(e.bytes()));
     }
 
-    private static long parse(String text) {
+    private static long parseEventId(String text) {
         try {
             return Long.parseLong(text);
         } catch (NumberFormatException e) {
-            return EventCutter.Event.NO_ID;
+            return EventStreamDecoder.Event.NO_ID;
         }
     }
 
     /**
-     * The head of an answer.
+     * Head of a response.
      *
-     * @param status the status
-     * @param headers the headers for the caller
-     * @param body the whole body if the answer is no stream, or null
+     * @param status the HTTP status
+     * @param headers the headers for the client
+     * @param body the complete body, or null if the response is an event stream
      */
     record Head(int status, HttpHeaders headers, byte[] body) {}
 
-    /** One attempt at one target. */
+    /** An attempt at a target. */
     private final class Attempt {
 
         private final ServingTarget target;
         private final TargetState state;
-        private final EventCutter cutter = new EventCutter();
+        private final EventStreamDecoder decoder = new EventStreamDecoder();
         private Disposable subscription;
         private int status;
         private HttpHeaders headers;
-        private boolean over;
+        private boolean ended;
 
         Attempt(ServingTarget target, long now) {
             this.target = target;
             this.state = context.balancer().state(target);
         }
 
-        Publisher<Piece> read(HttpClientResponse answer, ByteBufFlux body) {
-            status = answer.status().code();
-            headers = context.headers().answer(answer.responseHeaders());
-            String type = answer.responseHeaders().get(HttpHeaderNames.CONTENT_TYPE, "");
+        Publisher<Chunk> readResponse(HttpClientResponse response, ByteBufFlux body) {
+            status = response.status().code();
+            headers = context.forwardedHeaders().forResponse(response.responseHeaders());
+            String type = response.responseHeaders().get(HttpHeaderNames.CONTENT_TYPE, "");
             if (type.startsWith(EVENT_STREAM) && status < 300) {
-                return body.asByteArray().map(b -> new Piece(b, false));
+                return body.asByteArray().map(b -> new Chunk(b, false));
             }
-            return body.aggregate().asByteArray().defaultIfEmpty(new byte[0]).map(b -> new Piece(b, true));
+            return body.aggregate().asByteArray().defaultIfEmpty(new byte[0]).map(b -> new Chunk(b, true));
         }
 
-        void take(Piece piece) {
-            if (over || done) {
+        void onChunk(Chunk chunk) {
+            if (ended || done) {
                 return;
             }
-            if (piece.whole()) {
-                takeWhole(piece.bytes());
+            if (chunk.buffered()) {
+                onBufferedResponse(chunk.bytes());
                 return;
             }
             try {
-                for (EventCutter.Event e : cutter.take(piece.bytes())) {
-                    takeEvent(e);
+                for (EventStreamDecoder.Event e : decoder.decode(chunk.bytes())) {
+                    onEvent(e);
                 }
             } catch (IllegalArgumentException e) {
                 fail(new AttemptFailure(Verdict.RAN, e.getMessage()));
             }
         }
 
-        private void takeEvent(EventCutter.Event e) {
-            if (over) {
+        private void onEvent(EventStreamDecoder.Event e) {
+            if (ended) {
                 return;
             }
-            boolean follows =
-                    e.id() == EventCutter.Event.NO_ID || lastId == EventCutter.Event.NO_ID || e.id() == lastId + 1;
-            if (follows) {
+            boolean isNext = e.id() == EventStreamDecoder.Event.NO_ID
+                    || lastId == EventStreamDecoder.Event.NO_ID
+                    || e.id() == lastId + 1;
+            if (isNext) {
                 deliver(this, e);
             } else if (e.id() > lastId) {
-                fail(new AttemptFailure(Verdict.RAN, "event " + e.id() + " came after " + lastId));
+                fail(new AttemptFailure(Verdict.RAN, "event " + e.id() + " received after " + lastId));
             }
         }
 
-        /** An answer that is no stream is the target's own failure, or the answer of a kind that has no events. */
-        private void takeWhole(byte[] body) {
-            if (status >= 500 && attempts.mayRunAgain()) {
-                fail(new AttemptFailure(Verdict.RAN, "the target failed with " + status));
+        /** Handles a response that is not an event stream: an error of the target, or a complete response. */
+        private void onBufferedResponse(byte[] body) {
+            if (status >= 500 && attempts.mayRetry()) {
+                fail(new AttemptFailure(Verdict.RAN, "the target responded with status " + status));
                 return;
             }
-            if (headGiven) {
-                fail(new AttemptFailure(Verdict.RAN, "no stream came back, status " + status));
+            if (headSent) {
+                fail(new AttemptFailure(Verdict.RAN, "the response is not an event stream, status " + status));
                 return;
             }
-            over = true;
-            state.end();
-            attempts.survived();
+            ended = true;
+            state.requestEnded();
+            attempts.markAnswered();
             finish();
-            headGiven = true;
-            context.counters().answer(status);
+            headSent = true;
+            context.metrics().countResponse(status);
             head.tryEmitValue(new Head(status, headers, body));
         }
 
         void fail(Throwable e) {
-            if (over || done) {
+            if (ended || done) {
                 return;
             }
-            drop();
+            cancel();
             AttemptFailure f =
                     e instanceof AttemptFailure a ? a : new AttemptFailure(Verdict.MAY_HAVE_RUN, e.toString());
-            failed(this, f);
+            attemptFailed(this, f);
         }
 
         void complete() {
-            if (over || done) {
+            if (ended || done) {
                 return;
             }
-            if (cutter.holdsPart() || eventCount == 0) {
-                fail(new AttemptFailure(Verdict.RAN, "the stream ended inside an event"));
+            if (decoder.hasPartialEvent() || eventCount == 0) {
+                fail(new AttemptFailure(Verdict.RAN, "the stream ended within an event"));
                 return;
             }
-            over = true;
-            state.end();
-            completed(this);
+            ended = true;
+            state.requestEnded();
+            attemptCompleted(this);
         }
 
-        void drop() {
-            if (!over) {
-                over = true;
-                state.end();
+        void cancel() {
+            if (!ended) {
+                ended = true;
+                state.requestEnded();
                 if (subscription != null) {
                     subscription.dispose();
                 }
@@ -416,6 +425,6 @@
         }
     }
 
-    /** Bytes of an answer. */
-    private record Piece(byte[] bytes, boolean whole) {}
+    /** Part of a response body, or all of it. */
+    private record Chunk(byte[] bytes, boolean buffered) {}
 }
