--- a/log/src/main/java/org/hallwall/log/DurableFile.java
+++ b/log/src/main/java/org/hallwall/log/DurableFile.java
@@ -26,7 +26,10 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** Replaces small files so that a loss of power leaves the old content or the new one, and the new one once this returns. */
+/**
+ * Replaces small files atomically and durably: after a power loss either the old or the new content is present, and the
+ * new content once the call has returned.
+ */
 public final class DurableFile {
 
     private DurableFile() {}
@@ -34,19 +37,19 @@
     /**
      * Replaces a file.
      *
-     * @param directory the folder
-     * @param file the file's name
+     * @param directory the directory
+     * @param file the file name
      * @param content the content
      * @throws IOException if it cannot be written and synced
      */
     public static void replace(Path directory, String file, ByteBuffer content) throws IOException {
-        Path fresh = directory.resolve(file + ".new");
+        Path temporary = directory.resolve(file + ".new");
         try (FileChannel out = FileChannel.open(
-                fresh, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
+                temporary, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
             writeFully(out, content);
             out.force(true);
         }
-        Files.move(fresh, directory.resolve(file), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(temporary, directory.resolve(file), StandardCopyOption.ATOMIC_MOVE);
         syncDirectory(directory);
     }
 
--- a/log/src/main/java/org/hallwall/log/LogFollower.java
+++ b/log/src/main/java/org/hallwall/log/FollowerProgress.java
@@ -18,72 +18,72 @@
  */
 package org.hallwall.log;
 
-/** What a leader knows of one other voter. */
-final class LogFollower {
+/** The replication progress of one follower, tracked by the leader. */
+final class FollowerProgress {
 
-    private long next;
-    private long match;
-    private long heardSentAt = Long.MIN_VALUE;
+    private long nextIndex;
+    private long matchIndex;
+    private long lastAckSentAt = Long.MIN_VALUE;
     private LogFolder folder;
     private long admissionIndex;
     private long snapshotSentAt = Long.MIN_VALUE;
 
-    LogFollower(long next) {
-        this.next = next;
+    FollowerProgress(long nextIndex) {
+        this.nextIndex = nextIndex;
     }
 
-    void heard(LogFolder speaking, long sentAt) {
-        if (folder == null || !folder.id().equals(speaking.id())) {
-            match = 0;
+    void recordReply(LogFolder reportedFolder, long sentAt) {
+        if (folder == null || !folder.id().equals(reportedFolder.id())) {
+            matchIndex = 0;
             admissionIndex = 0;
         }
-        folder = speaking;
-        heardSentAt = Math.max(heardSentAt, sentAt);
+        folder = reportedFolder;
+        lastAckSentAt = Math.max(lastAckSentAt, sentAt);
     }
 
-    void accepted(long index) {
-        match = Math.max(match, index);
-        next = Math.max(next, match + 1);
+    void onAccepted(long index) {
+        matchIndex = Math.max(matchIndex, index);
+        nextIndex = Math.max(nextIndex, matchIndex + 1);
         snapshotSentAt = Long.MIN_VALUE;
     }
 
-    void rejected(long goOnAfter) {
-        next = Math.max(1, goOnAfter + 1);
+    void onRejected(long lastMatchHint) {
+        nextIndex = Math.max(1, lastMatchHint + 1);
     }
 
-    void sentUpTo(long index) {
-        next = index + 1;
+    void markSentUpTo(long index) {
+        nextIndex = index + 1;
     }
 
-    boolean maySendSnapshot(long now, long everyMillis) {
-        if (snapshotSentAt != Long.MIN_VALUE && now - snapshotSentAt < everyMillis) {
+    boolean tryStartSnapshot(long now, long retryMillis) {
+        if (snapshotSentAt != Long.MIN_VALUE && now - snapshotSentAt < retryMillis) {
             return false;
         }
         snapshotSentAt = now;
         return true;
     }
 
-    long next() {
-        return next;
+    long nextIndex() {
+        return nextIndex;
     }
 
-    long match() {
-        return match;
+    long matchIndex() {
+        return matchIndex;
     }
 
-    long heardSentAt() {
-        return heardSentAt;
+    long lastAckSentAt() {
+        return lastAckSentAt;
     }
 
     LogFolder folder() {
         return folder;
     }
 
-    boolean admissionPending() {
+    boolean hasPendingAdmission() {
         return admissionIndex > 0;
     }
 
-    void admissionAt(long index) {
+    void setAdmissionIndex(long index) {
         admissionIndex = index;
     }
 }
--- a/log/src/main/java/org/hallwall/log/LogIndex.java
+++ b/log/src/main/java/org/hallwall/log/InMemoryLog.java
@@ -23,21 +23,21 @@
 
 import org.hallwall.core.id.InstanceId;
 
-/** The entries that a replica holds in memory, after its snapshot. */
-final class LogIndex {
+/** The log entries after the latest snapshot, held in memory. */
+final class InMemoryLog {
 
     private final List<LogEntry> entries = new ArrayList<>();
     private long baseIndex;
     private long baseTerm;
 
-    LogIndex(long baseIndex, long baseTerm, List<LogEntry> kept) {
-        reset(baseIndex, baseTerm, kept);
+    InMemoryLog(long baseIndex, long baseTerm, List<LogEntry> retained) {
+        reset(baseIndex, baseTerm, retained);
     }
 
-    void reset(long index, long term, List<LogEntry> kept) {
+    void reset(long index, long term, List<LogEntry> retained) {
         baseIndex = index;
         baseTerm = term;
-        List<LogEntry> copy = List.copyOf(kept);
+        List<LogEntry> copy = List.copyOf(retained);
         entries.clear();
         entries.addAll(copy);
     }
@@ -54,7 +54,7 @@
         return termAt(lastIndex());
     }
 
-    boolean holds(long index) {
+    boolean hasTermAt(long index) {
         return index >= baseIndex && index <= lastIndex();
     }
 
@@ -66,12 +66,12 @@
         return entries.get((int) (index - baseIndex - 1));
     }
 
-    /** Finds the last entry that admits a data folder of a voter, committed or not; null if there is none. */
-    String lastAdmission(InstanceId voter) {
+    /** Returns the folder id of the last admission of a voter, committed or not; null if there is none. */
+    String lastAdmittedFolder(InstanceId voter) {
         for (int i = entries.size() - 1; i >= 0; i--) {
             LogEntry e = entries.get(i);
             if (e.kind() == LogEntryKind.ADMIT) {
-                LogAdmission a = LogAdmission.of(e);
+                LogAdmission a = LogAdmission.decode(e);
                 if (a.voter().equals(voter)) {
                     return a.folder();
                 }
@@ -80,8 +80,8 @@
         return null;
     }
 
-    /** Finds the last entry of a kind up to an index; zero if the entries in memory have none. */
-    long lastOf(LogEntryKind kind, long upTo) {
+    /** Returns the index of the last entry of a kind up to an index; zero if there is none after the snapshot. */
+    long lastIndexOf(LogEntryKind kind, long upTo) {
         for (long i = Math.min(upTo, lastIndex()); i > baseIndex; i--) {
             if (get(i).kind() == kind) {
                 return i;
@@ -94,21 +94,21 @@
         entries.add(entry);
     }
 
-    void cutFrom(long index) {
+    void truncateFrom(long index) {
         int keep = (int) (index - baseIndex - 1);
         entries.subList(keep, entries.size()).clear();
     }
 
-    void dropUpTo(long index) {
+    void discardUpTo(long index) {
         long term = termAt(index);
         entries.subList(0, (int) (index - baseIndex)).clear();
         baseIndex = index;
         baseTerm = term;
     }
 
-    List<LogEntry> after(long index, int most) {
+    List<LogEntry> entriesAfter(long index, int maxEntries) {
         int from = (int) (index - baseIndex);
-        int to = Math.min(entries.size(), from + most);
+        int to = Math.min(entries.size(), from + maxEntries);
         return List.copyOf(entries.subList(from, to));
     }
 
--- a/log/src/main/java/org/hallwall/log/LogAction.java
+++ b/log/src/main/java/org/hallwall/log/LogAction.java
@@ -22,37 +22,37 @@
 
 import org.hallwall.core.id.InstanceId;
 
-/** What a voter has to do, in order; a later action must not start before an earlier one is done. */
+/** An action for a voter. Actions are carried out in order, each after the previous one has completed. */
 public sealed interface LogAction {
 
     /**
-     * Makes the term and the vote last.
+     * Stores the term and the vote.
      *
      * @param vote the term and the vote
      */
     record SaveVote(LogVote vote) implements LogAction {}
 
     /**
-     * Makes it last that the data folder is admitted.
+     * Stores that the data folder is admitted.
      *
      * @param folder the folder
      */
     record SaveFolder(LogFolder folder) implements LogAction {}
 
     /**
-     * Cuts the stored log from the first entry's index on and makes the entries last.
+     * Truncates the stored log at the index of the first entry and appends the entries.
      *
      * @param entries the entries; never empty
      */
     record SaveEntries(List<LogEntry> entries) implements LogAction {}
 
     /**
-     * Makes a received snapshot last, drops the stored entries that it replaces and restores the state machine.
+     * Stores a received snapshot, discards the entries it covers and restores the state machine.
      *
      * @param snapshot the snapshot
-     * @param kept the entries after it that stay
+     * @param retained the entries after the snapshot that remain valid
      */
-    record Restore(LogSnapshot snapshot, List<LogEntry> kept) implements LogAction {}
+    record InstallSnapshot(LogSnapshot snapshot, List<LogEntry> retained) implements LogAction {}
 
     /**
      * Applies a committed entry.
@@ -74,7 +74,7 @@
      *
      * @param to the receiver
      * @param term the leader's term
-     * @param sentAt the leader's clock
+     * @param sentAt the time of sending by the leader's clock
      */
     record SendSnapshot(InstanceId to, long term, long sentAt) implements LogAction {}
 }
--- a/log/src/main/java/org/hallwall/log/LogAdmission.java
+++ b/log/src/main/java/org/hallwall/log/LogAdmission.java
@@ -23,21 +23,21 @@
 import org.hallwall.core.id.InstanceId;
 
 /**
- * Admits the data folder of a voter: only an admitted folder votes and counts towards a quorum.
+ * The payload of an {@code ADMIT} entry. Only an admitted data folder may vote and counts towards a quorum.
  *
  * @param voter the voter
- * @param folder the identity of its data folder
+ * @param folder the id of its data folder
  */
 record LogAdmission(InstanceId voter, String folder) {
 
     private static final String SEPARATOR = "\n";
 
-    static LogAdmission of(LogEntry entry) {
+    static LogAdmission decode(LogEntry entry) {
         String[] parts = new String(entry.payload(), StandardCharsets.UTF_8).split(SEPARATOR);
         return new LogAdmission(new InstanceId(parts[0]), parts[1]);
     }
 
-    byte[] payload() {
+    byte[] encode() {
         return (voter + SEPARATOR + folder).getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/log/src/main/java/org/hallwall/log/LogAdmissions.java
+++ b/log/src/main/java/org/hallwall/log/LogAdmissions.java
@@ -23,15 +23,15 @@
 
 import org.hallwall.core.id.InstanceId;
 
-/** Which data folder of each voter is admitted, as one replica knows it. Not safe for use by several threads. */
+/** Tracks the admitted data folder of each voter. Not thread-safe. */
 final class LogAdmissions {
 
     private final InstanceId self;
-    private final LogIndex log;
+    private final InMemoryLog log;
     private final Map<String, String> committed = new HashMap<>();
     private LogFolder folder;
 
-    LogAdmissions(InstanceId self, LogFolder folder, LogIndex log) {
+    LogAdmissions(InstanceId self, LogFolder folder, InMemoryLog log) {
         this.self = self;
         this.folder = folder;
         this.log = log;
@@ -50,21 +50,21 @@
         return folder;
     }
 
-    void commit(LogAdmission a) {
-        committed.put(a.voter().value(), a.folder());
+    void recordCommitted(LogAdmission admission) {
+        committed.put(admission.voter().value(), admission.folder());
     }
 
-    boolean isCommitted(InstanceId voter, LogFolder speaking) {
-        return speaking.id().equals(committed.get(voter.value()));
+    boolean isCommitted(InstanceId voter, LogFolder reportedFolder) {
+        return reportedFolder.id().equals(committed.get(voter.value()));
     }
 
     /**
-     * Notes that this replica's own folder is admitted. A voter keeps that on its disk: after a restart it no longer knows
-     * what was committed.
+     * Marks this replica's own data folder as admitted once the admission is committed. The mark is stored, since the
+     * commit index is lost on a restart.
      *
-     * @return true if that is news, so that it must be stored
+     * @return true if the mark is new and must be stored
      */
-    boolean noteOwn() {
+    boolean markOwnAdmitted() {
         if (folder.admitted() || !isCommitted(self, folder)) {
             return false;
         }
@@ -72,21 +72,21 @@
         return true;
     }
 
-    boolean mayVote() {
-        return counts(self, folder);
+    boolean canVote() {
+        return countsTowardQuorum(self, folder);
     }
 
     /**
-     * Says whether a voter counts towards a quorum. An admission that is in the log, but not known to be committed, counts
-     * if the voter itself says that it was: it says so only when it has learnt of the commit.
+     * Returns whether a voter counts towards a quorum. An admission in the log that is not known to be committed counts
+     * if the voter reports its folder as admitted, since it does so only after learning of the commit.
      */
-    boolean counts(InstanceId voter, LogFolder speaking) {
-        if (speaking == null) {
+    boolean countsTowardQuorum(InstanceId voter, LogFolder reportedFolder) {
+        if (reportedFolder == null) {
             return false;
         }
-        String latest = log.lastAdmission(voter);
-        String known = latest == null ? committed.get(voter.value()) : latest;
-        boolean named = known == null || known.equals(speaking.id());
-        return named && (isCommitted(voter, speaking) || speaking.admitted());
+        String latest = log.lastAdmittedFolder(voter);
+        String admittedId = latest == null ? committed.get(voter.value()) : latest;
+        boolean matches = admittedId == null || admittedId.equals(reportedFolder.id());
+        return matches && (isCommitted(voter, reportedFolder) || reportedFolder.admitted());
     }
 }
--- a/log/src/main/java/org/hallwall/log/LogEntry.java
+++ b/log/src/main/java/org/hallwall/log/LogEntry.java
@@ -19,11 +19,11 @@
 package org.hallwall.log;
 
 /**
- * One entry of the log.
+ * An entry of the log.
  *
- * @param index its place, from 1
- * @param term the term of the leader that made it
+ * @param index its index, starting at 1
+ * @param term the term of the leader that created it
  * @param kind its kind
- * @param payload its content
+ * @param payload its payload
  */
 public record LogEntry(long index, long term, LogEntryKind kind, byte[] payload) {}
--- a/log/src/main/java/org/hallwall/log/LogEntryKind.java
+++ b/log/src/main/java/org/hallwall/log/LogEntryKind.java
@@ -24,7 +24,7 @@
     START,
     /** Admits the data folder of a voter. */
     ADMIT,
-    /** Names all voters from here on. */
+    /** Defines the set of voters from this entry on. */
     VOTERS,
     /** A command of the state machine. */
     COMMAND
--- a/log/src/main/java/org/hallwall/log/LogFolder.java
+++ b/log/src/main/java/org/hallwall/log/LogFolder.java
@@ -21,8 +21,8 @@
 /**
  * The identity of a data folder.
  *
- * @param id a random text, made with the folder
- * @param admitted whether the folder may vote: the operator formed the fleet with it, or its voter has learnt that a
- *     quorum admitted it
+ * @param id a random id, created with the folder
+ * @param admitted whether the folder may vote: it was created for a new fleet, or its voter has learned that a quorum
+ *     admitted it
  */
 public record LogFolder(String id, boolean admitted) {}
--- a/log/src/main/java/org/hallwall/log/LogMachine.java
+++ b/log/src/main/java/org/hallwall/log/LogMachine.java
@@ -18,7 +18,7 @@
  */
 package org.hallwall.log;
 
-/** The state machine that the log drives; all its methods run on the log's thread. */
+/** The replicated state machine. All methods run on the thread of the log. */
 public interface LogMachine {
 
     /**
@@ -26,29 +26,29 @@
      *
      * @param index the index of its entry
      * @param command the command
-     * @return the outcome, the same on every voter
+     * @return the outcome; must be the same on every voter
      */
     Object apply(long index, byte[] command);
 
     /**
-     * Passes over a committed entry that is not a command.
+     * Skips a committed entry that is not a command.
      *
      * @param index the index of the entry
      */
     void skip(long index);
 
     /**
-     * Makes a snapshot of the state.
+     * Creates a snapshot of the state.
      *
      * @return the snapshot
      */
     byte[] snapshot();
 
     /**
-     * Replaces the state by a snapshot.
+     * Restores the state from a snapshot.
      *
      * @param index the last index that the snapshot covers
-     * @param state the snapshot; empty for the state before the first entry
+     * @param state the snapshot; empty for the initial state
      */
     void restore(long index, byte[] state);
 }
--- a/log/src/main/java/org/hallwall/log/LogMessage.java
+++ b/log/src/main/java/org/hallwall/log/LogMessage.java
@@ -28,23 +28,23 @@
 public sealed interface LogMessage extends PeerMessage {
 
     /**
-     * Gives the sender's term.
+     * Returns the sender's term.
      *
      * @return the term
      */
     long term();
 
     /**
-     * Gives the sender.
+     * Returns the sender.
      *
      * @return the sender
      */
     InstanceId from();
 
     /**
-     * Registers the kinds of message.
+     * Registers the message types.
      *
-     * @param kinds where to register them
+     * @param kinds the registry
      */
     static void register(PeerKinds kinds) {
         kinds.add(10, VoteRequest.class)
@@ -55,15 +55,15 @@
     }
 
     /**
-     * Asks for a vote.
+     * Requests a vote or a pre-vote.
      *
-     * @param term the term; in a pre-vote, the term that the candidate would start
+     * @param term the term of the candidate; in a pre-vote, the term it would start
      * @param from the candidate
-     * @param lastIndex the last index of its log
+     * @param lastIndex the index of the last entry in its log
      * @param lastTerm the term of that entry
-     * @param preVote whether the vote is only a probe
-     * @param startId names this start of the candidate while it has heard no leader since; else zero
-     * @param allJustStarted whether the candidate knows that no voter has heard a leader since its start, so that nobody can lead
+     * @param preVote whether this is a pre-vote
+     * @param startId identifies this start of the candidate until it hears from a leader; zero afterwards
+     * @param allJustStarted whether no voter has heard from a leader since its start, so that no lease can exist
      */
     record VoteRequest(
             long term,
@@ -76,20 +76,21 @@
             implements LogMessage {}
 
     /**
-     * Answers a request for a vote.
+     * Replies to a vote request.
      *
-     * @param term the voter's term; in a granted pre-vote, the term asked for
+     * @param term the term of the voter; in a granted pre-vote, the requested term
      * @param from the voter
      * @param folder the voter's data folder
-     * @param granted whether the vote is given
-     * @param preVote whether the vote was only a probe
-     * @param startId the start that the candidate named if this voter has heard no leader since its own either; else zero
+     * @param granted whether the vote is granted
+     * @param preVote whether this is a pre-vote
+     * @param startId the candidate's start id if this voter has not heard from a leader since its own start; zero
+     *     otherwise
      */
     record VoteReply(long term, InstanceId from, LogFolder folder, boolean granted, boolean preVote, long startId)
             implements LogMessage {}
 
     /**
-     * Replicates entries; without entries it is a heartbeat.
+     * Replicates entries; serves as a heartbeat if there are none.
      *
      * @param term the leader's term
      * @param from the leader
@@ -97,32 +98,32 @@
      * @param prevTerm the term of the entry at that index
      * @param entries the entries
      * @param commit the leader's commit index
-     * @param sentAt the leader's clock, echoed in the reply
+     * @param sentAt the time of sending by the leader's clock, echoed in the reply
      */
     record AppendRequest(
             long term, InstanceId from, long prevIndex, long prevTerm, List<LogEntry> entries, long commit, long sentAt)
             implements LogMessage {}
 
     /**
-     * Answers an append or a snapshot.
+     * Replies to an append or a snapshot request.
      *
      * @param term the follower's term
      * @param from the follower
      * @param folder the follower's data folder
      * @param accepted whether the log matched at the previous index
-     * @param index if accepted, the last index known to match; otherwise the index to go on after
-     * @param sentAt the leader's clock as echoed
+     * @param index if accepted, the last index known to match; otherwise the index after which to resume
+     * @param sentAt the echoed time of sending
      */
     record AppendReply(long term, InstanceId from, LogFolder folder, boolean accepted, long index, long sentAt)
             implements LogMessage {}
 
     /**
-     * Replaces a follower's log up to an index.
+     * Installs a snapshot on a follower.
      *
      * @param term the leader's term
      * @param from the leader
      * @param snapshot the snapshot
-     * @param sentAt the leader's clock, echoed in the reply
+     * @param sentAt the time of sending by the leader's clock, echoed in the reply
      */
     record SnapshotRequest(long term, InstanceId from, LogSnapshot snapshot, long sentAt) implements LogMessage {}
 }
--- a/log/src/main/java/org/hallwall/log/LogProposalException.java
+++ b/log/src/main/java/org/hallwall/log/LogProposalException.java
@@ -21,7 +21,10 @@
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.verdict.Verdict;
 
-/** A command has no outcome; the verdict says whether it may still be committed. */
+/**
+ * Thrown when the outcome of a proposed command is not available. The verdict tells whether the command may still be
+ * committed.
+ */
 public class LogProposalException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -33,8 +36,8 @@
      * Creates the exception.
      *
      * @param verdict whether the command may be committed
-     * @param message one sentence
-     * @param leader the leader that this voter knows; may be null
+     * @param message the detail message
+     * @param leader the current leader; null if unknown
      */
     public LogProposalException(Verdict verdict, String message, InstanceId leader) {
         super(message);
@@ -43,7 +46,7 @@
     }
 
     /**
-     * Says whether the command may be committed.
+     * Returns whether the command may be committed.
      *
      * @return the verdict
      */
@@ -52,9 +55,9 @@
     }
 
     /**
-     * Gives the leader to try instead.
+     * Returns the leader to send the command to.
      *
-     * @return the leader; null if none is known
+     * @return the leader; null if unknown
      */
     public InstanceId leader() {
         return leader;
--- a/log/src/main/java/org/hallwall/log/LogReplica.java
+++ b/log/src/main/java/org/hallwall/log/LogReplica.java
@@ -33,23 +33,22 @@
 import org.hallwall.log.LogMessage.VoteRequest;
 
 /**
- * Decides for one voter: terms, votes, replication, commit, admission of data folders.
+ * The Raft state machine of one voter: elections, replication, commit, and admission of data folders.
  *
- * <p>It does no I/O and reads no clock. Each call returns the actions to carry out in order. It is not safe for use by
- * several threads.
+ * <p>It does no I/O and reads no clock. Each call returns the actions to carry out in order. Not thread-safe.
  */
 public final class LogReplica {
 
-    private static final int MOST_ENTRIES = 64;
+    private static final int MAX_BATCH_ENTRIES = 64;
 
     private final InstanceId self;
     private final LogTiming timing;
     private final RandomGenerator random;
-    private final LogIndex log;
+    private final InMemoryLog log;
     private final LogAdmissions admissions;
-    private final LogVoters voters;
-    private final LogFollowers followers;
-    private final LogSuccession succession;
+    private final VoterSet voters;
+    private final FollowerTracker followers;
+    private final MembershipPolicy membershipPolicy;
     private final Set<InstanceId> votes = new HashSet<>();
     private List<LogAction> actions = new ArrayList<>();
 
@@ -57,20 +56,20 @@
     private long term;
     private InstanceId votedFor;
     private InstanceId leader;
-    private long commit;
-    private long electionAt;
-    private long heartbeatAt;
+    private long commitIndex;
+    private long electionDeadline;
+    private long nextHeartbeatAt;
     private long lastSentAt = Long.MIN_VALUE;
-    private long leaderHeardAt;
-    private final LogStartProbe startProbe;
+    private long lastLeaderContactAt;
+    private final ColdStartDetector coldStartDetector;
 
     /**
-     * Restores a replica from what it has stored.
+     * Restores a replica from its persistent state.
      *
-     * @param seat the place of this voter among the voters
-     * @param stored what the voter has stored
-     * @param random the source of election timeouts
-     * @param now the clock in milliseconds; no vote is given for one election timeout from now
+     * @param seat the configuration of this voter
+     * @param stored the state recovered from disk
+     * @param random the source of randomized election timeouts
+     * @param now the clock in milliseconds; no vote is granted for one election timeout from now
      */
     public LogReplica(LogSeat seat, LogStored stored, RandomGenerator random, long now) {
         this.self = seat.self();
@@ -79,47 +78,47 @@
         this.term = stored.vote().term();
         this.votedFor = stored.vote().votedFor();
         LogSnapshot snapshot = stored.snapshot();
-        this.log = new LogIndex(snapshot.index(), snapshot.term(), stored.entries());
-        this.commit = snapshot.index();
+        this.log = new InMemoryLog(snapshot.index(), snapshot.term(), stored.entries());
+        this.commitIndex = snapshot.index();
         this.admissions = new LogAdmissions(self, stored.folder(), log);
         this.admissions.restore(snapshot.admitted());
-        this.voters = new LogVoters(self, seat.voters(), log);
+        this.voters = new VoterSet(self, seat.voters(), log);
         this.voters.restore(snapshot.voters());
-        this.followers = new LogFollowers(voters);
-        this.succession = new LogSuccession(seat.disksLost(), voters, followers, admissions);
-        this.leaderHeardAt = now;
-        this.startProbe = new LogStartProbe(now, timing.startProbeMillis(), random);
-        this.role = restingRole();
-        resetElection(now);
+        this.followers = new FollowerTracker(voters);
+        this.membershipPolicy = new MembershipPolicy(seat.toleratedDiskFailures(), voters, followers, admissions);
+        this.lastLeaderContactAt = now;
+        this.coldStartDetector = new ColdStartDetector(now, timing.coldStartProbeMillis(), random);
+        this.role = passiveRole();
+        resetElectionDeadline(now);
     }
 
     /**
-     * Lets time pass.
+     * Advances the clock: sends heartbeats, and starts elections and start probes that are due.
      *
      * @param now the clock in milliseconds
      * @return the actions to carry out
      */
     public List<LogAction> tick(long now) {
         if (role == LogRole.LEADER) {
-            if (now >= heartbeatAt) {
-                sendToAll(now);
+            if (now >= nextHeartbeatAt) {
+                broadcastAppend(now);
             }
-            if (!followers.haveAnswered(now, 2 * timing.electionMillis())) {
+            if (!followers.hasQuorumContact(now, 2 * timing.electionTimeoutMillis())) {
                 becomeFollower(now);
             } else {
-                removeSurplus(now);
+                removeSurplusVoter(now);
             }
-        } else if (now >= electionAt) {
-            startProbe.end();
+        } else if (now >= electionDeadline) {
+            coldStartDetector.stop();
             startElection(now, true);
-        } else if (startProbe.isDue(now)) {
-            askForVotes(term + 1, true, false);
+        } else if (coldStartDetector.isProbeDue(now)) {
+            sendVoteRequests(term + 1, true, false);
         }
-        return taken();
+        return drainActions();
     }
 
     /**
-     * Takes a message.
+     * Handles a message from another voter.
      *
      * @param now the clock in milliseconds
      * @param message the message
@@ -127,136 +126,139 @@
      */
     public List<LogAction> receive(long now, LogMessage message) {
         if (!message.from().equals(self)) {
-            // A voter that missed changes of the voters takes what it is told by one that it does not know.
+            // Senders outside the known voter set are accepted too: this voter may have missed a membership change.
             dispatch(now, message);
         }
-        return taken();
+        return drainActions();
     }
 
     /**
-     * Proposes a command; only a leader takes it.
+     * Appends a command if this voter is the leader.
      *
      * @param now the clock in milliseconds
      * @param command the command
-     * @return the index it will have if it is committed in this term; empty if this voter does not lead
+     * @return the index of its entry if it is committed in this term; empty if this voter is not the leader
      */
     public OptionalLong propose(long now, byte[] command) {
         if (role != LogRole.LEADER) {
             return OptionalLong.empty();
         }
-        long index = appendOwn(LogEntryKind.COMMAND, command);
-        sendToAll(now);
+        long index = appendAsLeader(LogEntryKind.COMMAND, command);
+        broadcastAppend(now);
         return OptionalLong.of(index);
     }
 
     /**
-     * Takes the actions that a proposal has caused.
+     * Returns and clears the pending actions.
      *
      * @return the actions to carry out
      */
-    public List<LogAction> taken() {
+    public List<LogAction> drainActions() {
         List<LogAction> out = actions;
         actions = new ArrayList<>();
         return out;
     }
 
     /**
-     * Makes a snapshot's metadata and drops the entries it covers.
+     * Creates a snapshot at the commit index and discards the entries it covers.
      *
-     * @param state the state machine's snapshot, taken when all entries up to the commit index were applied
-     * @return the snapshot, to be stored before anything else is done
+     * @param state the state machine's snapshot, taken after applying all entries up to the commit index
+     * @return the snapshot, which must be stored before any later action
      */
     public LogSnapshot compact(byte[] state) {
-        voters.compact(commit);
-        LogSnapshot snapshot = new LogSnapshot(commit, log.termAt(commit), admissions.copy(), voters.at(commit), state);
-        log.dropUpTo(commit);
+        voters.compact(commitIndex);
+        LogSnapshot snapshot = new LogSnapshot(
+                commitIndex, log.termAt(commitIndex), admissions.copy(), voters.votersAt(commitIndex), state);
+        log.discardUpTo(commitIndex);
         voters.refresh();
         return snapshot;
     }
 
     /**
-     * Counts the committed entries that the snapshot does not cover.
+     * Returns the number of committed entries that the snapshot does not cover.
      *
-     * @return how many
+     * @return the number of entries
      */
     public long committedSinceSnapshot() {
-        return commit - log.baseIndex();
+        return commitIndex - log.baseIndex();
     }
 
     /**
-     * Gives the entries after the snapshot.
+     * Returns the entries after the snapshot.
      *
      * @return the entries in order
      */
     public List<LogEntry> entriesAfterSnapshot() {
-        return log.after(log.baseIndex(), log.size());
+        return log.entriesAfter(log.baseIndex(), log.size());
     }
 
     /**
-     * Says whether this voter leads and no other can have been elected.
+     * Returns whether this voter is the leader and holds a valid lease.
      *
      * @param now the clock in milliseconds
      * @return true if a read of the applied state is up to date
      */
     public boolean holdsLease(long now) {
         return role == LogRole.LEADER
-                && log.termAt(commit) == term
-                && followers.haveAnswered(now, timing.leaseMillis());
+                && log.termAt(commitIndex) == term
+                && followers.hasQuorumContact(now, timing.leaseMillis());
     }
 
     /**
-     * Sends heartbeats whose answers show that this voter still leads; answers to earlier ones do not.
+     * Sends a round of heartbeats that confirms leadership; replies to earlier messages do not count towards it.
      *
      * @param now the clock in milliseconds
-     * @return when they were sent; empty if this voter does not lead, or sent others in this millisecond
+     * @return the send time that identifies the round; empty if this voter is not the leader, or has already sent
+     *     messages in this millisecond
      */
-    public OptionalLong confirm(long now) {
+    public OptionalLong startConfirmationRound(long now) {
         if (role != LogRole.LEADER || now <= lastSentAt) {
             return OptionalLong.empty();
         }
-        sendToAll(now);
+        broadcastAppend(now);
         return OptionalLong.of(now);
     }
 
     /**
-     * Says whether a quorum has answered what was sent at a time or later. No clock takes part: times only tell messages apart.
+     * Returns whether a quorum has replied to messages sent at or after a time. Send times only identify messages, so
+     * this holds without a trusted clock.
      *
-     * @param sentAt when it was sent, as {@link #confirm(long)} gave it
-     * @return true if all that was accepted before it was sent is applied here
+     * @param sentAt the send time returned by {@link #startConfirmationRound(long)}
+     * @return true if everything accepted before that time is applied here
      */
-    public boolean isConfirmed(long sentAt) {
-        return role == LogRole.LEADER && log.termAt(commit) == term && followers.haveAnsweredSince(sentAt);
+    public boolean isRoundConfirmed(long sentAt) {
+        return role == LogRole.LEADER && log.termAt(commitIndex) == term && followers.hasQuorumAckSince(sentAt);
     }
 
     /**
-     * Describes the replica.
+     * Returns the state of the replica.
      *
      * @return its state
      */
     public LogState state() {
         return new LogState(
-                role, term, leader, commit, log.lastIndex(), log.baseIndex(), admissions.copy(), voters.all());
+                role, term, leader, commitIndex, log.lastIndex(), log.baseIndex(), admissions.copy(), voters.all());
     }
 
     private void dispatch(long now, LogMessage message) {
         if (message instanceof VoteRequest m) {
-            onVoteRequest(now, m);
+            handleVoteRequest(now, m);
         } else if (message instanceof VoteReply m) {
-            onVoteReply(now, m);
+            handleVoteReply(now, m);
         } else if (message instanceof AppendRequest m) {
-            onAppend(now, m);
+            handleAppendRequest(now, m);
         } else if (message instanceof AppendReply m) {
-            onAppendReply(now, m);
+            handleAppendReply(now, m);
         } else if (message instanceof SnapshotRequest m) {
-            onSnapshot(now, m);
+            handleSnapshotRequest(now, m);
         }
     }
 
     // --- elections
 
     private void startElection(long now, boolean preVote) {
-        resetElection(now);
-        if (!admissions.mayVote() || !voters.contains(self)) {
+        resetElectionDeadline(now);
+        if (!admissions.canVote() || !voters.contains(self)) {
             return;
         }
         leader = null;
@@ -268,80 +270,84 @@
             role = LogRole.CANDIDATE;
             saveVote(term + 1, self);
         }
-        askForVotes(preVote ? term + 1 : term, preVote, startProbe.hasAnsweredAll(Set.copyOf(voters.others())));
+        sendVoteRequests(
+                preVote ? term + 1 : term, preVote, coldStartDetector.haveAllJustStarted(Set.copyOf(voters.others())));
         if (!preVote) {
-            startProbe.end();
+            coldStartDetector.stop();
         }
         countVotes(now);
     }
 
-    private void askForVotes(long wanted, boolean preVote, boolean allJustStarted) {
+    private void sendVoteRequests(long proposedTerm, boolean preVote, boolean allJustStarted) {
         for (InstanceId v : voters.others()) {
             send(
                     v,
                     new VoteRequest(
-                            wanted,
+                            proposedTerm,
                             self,
                             log.lastIndex(),
                             log.lastTerm(),
                             preVote,
-                            startProbe.startId(),
+                            coldStartDetector.startId(),
                             allJustStarted));
         }
     }
 
-    private void onVoteRequest(long now, VoteRequest m) {
-        boolean nobodyLeads = m.allJustStarted() && startProbe.isJustStarted();
-        boolean leaderIsFresh = role == LogRole.LEADER || !nobodyLeads && now - leaderHeardAt < timing.electionMillis();
-        if (!m.preVote() && m.term() > term && !leaderIsFresh) {
+    private void handleVoteRequest(long now, VoteRequest m) {
+        boolean noLeaderPossible = m.allJustStarted() && coldStartDetector.isJustStarted();
+        boolean leaderIsRecent = role == LogRole.LEADER
+                || !noLeaderPossible && now - lastLeaderContactAt < timing.electionTimeoutMillis();
+        if (!m.preVote() && m.term() > term && !leaderIsRecent) {
             adoptTerm(now, m.term());
         }
-        boolean granted = !leaderIsFresh && admissions.mayVote() && upToDate(m) && mayGrant(m);
+        boolean granted = !leaderIsRecent && admissions.canVote() && isLogUpToDate(m) && canGrantVote(m);
         if (granted && !m.preVote()) {
-            startProbe.end();
+            coldStartDetector.stop();
             saveVote(term, m.from());
-            resetElection(now);
+            resetElectionDeadline(now);
         }
-        long answered = granted && m.preVote() ? m.term() : term;
+        long replyTerm = granted && m.preVote() ? m.term() : term;
         send(
                 m.from(),
                 new VoteReply(
-                        answered,
+                        replyTerm,
                         self,
                         admissions.folder(),
                         granted,
                         m.preVote(),
-                        startProbe.isJustStarted() ? m.startId() : 0));
+                        coldStartDetector.isJustStarted() ? m.startId() : 0));
     }
 
-    private boolean mayGrant(VoteRequest m) {
+    private boolean canGrantVote(VoteRequest m) {
         if (m.preVote()) {
             return m.term() > term;
         }
         return m.term() == term && (votedFor == null || votedFor.equals(m.from()));
     }
 
-    private boolean upToDate(VoteRequest m) {
+    private boolean isLogUpToDate(VoteRequest m) {
         if (m.lastTerm() != log.lastTerm()) {
             return m.lastTerm() > log.lastTerm();
         }
         return m.lastIndex() >= log.lastIndex();
     }
 
-    private void onVoteReply(long now, VoteReply m) {
-        startProbe.answered(m.from(), m.startId());
+    private void handleVoteReply(long now, VoteReply m) {
+        coldStartDetector.recordAnswer(m.from(), m.startId());
         if (!m.granted()) {
             if (m.term() > term) {
                 adoptTerm(now, m.term());
             }
-            if (role != LogRole.CANDIDATE && startProbe.hasAnsweredAll(Set.copyOf(voters.others()))) {
+            if (role != LogRole.CANDIDATE && coldStartDetector.haveAllJustStarted(Set.copyOf(voters.others()))) {
                 startElection(now, false);
             }
             return;
         }
-        boolean probing = role == LogRole.PRE_CANDIDATE && m.preVote() && m.term() == term + 1;
-        boolean standing = role == LogRole.CANDIDATE && !m.preVote() && m.term() == term;
-        if ((probing || standing) && voters.contains(m.from()) && admissions.counts(m.from(), m.folder())) {
+        boolean countsAsPreVote = role == LogRole.PRE_CANDIDATE && m.preVote() && m.term() == term + 1;
+        boolean countsAsVote = role == LogRole.CANDIDATE && !m.preVote() && m.term() == term;
+        if ((countsAsPreVote || countsAsVote)
+                && voters.contains(m.from())
+                && admissions.countsTowardQuorum(m.from(), m.folder())) {
             votes.add(m.from());
             countVotes(now);
         }
@@ -359,25 +365,25 @@
     }
 
     private void becomeLeader(long now) {
-        startProbe.end();
+        coldStartDetector.stop();
         role = LogRole.LEADER;
         leader = self;
         voters.refresh();
         followers.reset(log.lastIndex(), now);
-        appendOwn(LogEntryKind.START, new byte[0]);
+        appendAsLeader(LogEntryKind.START, new byte[0]);
         if (!admissions.isCommitted(self, admissions.folder())) {
-            appendOwn(
+            appendAsLeader(
                     LogEntryKind.ADMIT,
-                    new LogAdmission(self, admissions.folder().id()).payload());
+                    new LogAdmission(self, admissions.folder().id()).encode());
         }
-        sendToAll(now);
+        broadcastAppend(now);
     }
 
     private void becomeFollower(long now) {
-        role = restingRole();
+        role = passiveRole();
         leader = null;
         votes.clear();
-        resetElection(now);
+        resetElectionDeadline(now);
     }
 
     private void adoptTerm(long now, long newTerm) {
@@ -385,103 +391,103 @@
         becomeFollower(now);
     }
 
-    // --- replication, as a follower
+    // --- replication: follower
 
-    private void onAppend(long now, AppendRequest m) {
-        if (!follow(now, m)) {
+    private void handleAppendRequest(long now, AppendRequest m) {
+        if (!acceptLeader(now, m)) {
             send(m.from(), new AppendReply(term, self, admissions.folder(), false, log.lastIndex(), m.sentAt()));
             return;
         }
         long prev = m.prevIndex();
         if (prev < log.baseIndex()) {
-            // The snapshot covers the previous index, and what it covers is committed.
-            reply(m.from(), true, log.baseIndex(), m.sentAt());
+            // The snapshot covers the previous index, and covered entries are committed.
+            sendAppendReply(m.from(), true, log.baseIndex(), m.sentAt());
         } else if (prev > log.lastIndex()) {
-            reply(m.from(), false, log.lastIndex(), m.sentAt());
+            sendAppendReply(m.from(), false, log.lastIndex(), m.sentAt());
         } else if (log.termAt(prev) != m.prevTerm()) {
-            reply(m.from(), false, Math.max(log.baseIndex(), prev - 1), m.sentAt());
+            sendAppendReply(m.from(), false, Math.max(log.baseIndex(), prev - 1), m.sentAt());
         } else {
-            takeEntries(m.entries());
-            long matched = prev + m.entries().size();
-            advanceCommit(Math.min(m.commit(), matched));
-            reply(m.from(), true, matched, m.sentAt());
+            appendEntries(m.entries());
+            long matchIndex = prev + m.entries().size();
+            advanceCommit(Math.min(m.commit(), matchIndex));
+            sendAppendReply(m.from(), true, matchIndex, m.sentAt());
         }
     }
 
-    private boolean follow(long now, LogMessage m) {
+    private boolean acceptLeader(long now, LogMessage m) {
         if (m.term() < term) {
             return false;
         }
         if (m.term() > term || votedFor == null) {
-            // Voting for the leader of the term is harmless and keeps an admitted folder from voting twice.
+            // Recording a vote for the leader is safe and prevents an admitted folder from voting twice in this term.
             saveVote(m.term(), m.from());
         }
-        role = restingRole();
+        role = passiveRole();
         leader = m.from();
-        leaderHeardAt = now;
-        startProbe.end();
+        lastLeaderContactAt = now;
+        coldStartDetector.stop();
         votes.clear();
-        resetElection(now);
+        resetElectionDeadline(now);
         return true;
     }
 
-    private void takeEntries(List<LogEntry> entries) {
-        List<LogEntry> fresh = new ArrayList<>();
+    private void appendEntries(List<LogEntry> entries) {
+        List<LogEntry> appended = new ArrayList<>();
         for (LogEntry e : entries) {
-            if (fresh.isEmpty() && log.holds(e.index()) && log.termAt(e.index()) == e.term()) {
+            if (appended.isEmpty() && log.hasTermAt(e.index()) && log.termAt(e.index()) == e.term()) {
                 continue;
             }
-            if (fresh.isEmpty() && e.index() <= log.lastIndex()) {
-                cutFrom(e.index());
+            if (appended.isEmpty() && e.index() <= log.lastIndex()) {
+                truncateFrom(e.index());
             }
             log.append(e);
-            fresh.add(e);
+            appended.add(e);
         }
         voters.refresh();
-        if (!fresh.isEmpty()) {
-            actions.add(new LogAction.SaveEntries(fresh));
+        if (!appended.isEmpty()) {
+            actions.add(new LogAction.SaveEntries(appended));
         }
     }
 
-    private void cutFrom(long index) {
-        if (index <= commit) {
-            throw new IllegalStateException("a committed entry would be cut at " + index);
+    private void truncateFrom(long index) {
+        if (index <= commitIndex) {
+            throw new IllegalStateException("cannot truncate committed entry at index " + index);
         }
-        log.cutFrom(index);
+        log.truncateFrom(index);
     }
 
-    private void onSnapshot(long now, SnapshotRequest m) {
-        if (!follow(now, m)) {
+    private void handleSnapshotRequest(long now, SnapshotRequest m) {
+        if (!acceptLeader(now, m)) {
             send(m.from(), new AppendReply(term, self, admissions.folder(), false, log.lastIndex(), m.sentAt()));
             return;
         }
         LogSnapshot s = m.snapshot();
-        if (s.index() > commit) {
-            restore(s);
+        if (s.index() > commitIndex) {
+            installSnapshot(s);
         }
-        reply(m.from(), true, Math.max(s.index(), log.baseIndex()), m.sentAt());
+        sendAppendReply(m.from(), true, Math.max(s.index(), log.baseIndex()), m.sentAt());
     }
 
-    private void restore(LogSnapshot s) {
-        List<LogEntry> kept = List.of();
-        if (log.holds(s.index()) && log.termAt(s.index()) == s.term()) {
-            kept = log.after(s.index(), log.size());
+    private void installSnapshot(LogSnapshot s) {
+        List<LogEntry> retained = List.of();
+        if (log.hasTermAt(s.index()) && log.termAt(s.index()) == s.term()) {
+            retained = log.entriesAfter(s.index(), log.size());
         }
-        log.reset(s.index(), s.term(), kept);
-        commit = s.index();
+        log.reset(s.index(), s.term(), retained);
+        commitIndex = s.index();
         admissions.restore(s.admitted());
         voters.restore(s.voters());
-        actions.add(new LogAction.Restore(s, kept));
-        noteOwnAdmission();
+        actions.add(new LogAction.InstallSnapshot(s, retained));
+        updateOwnAdmission();
     }
 
-    private void reply(InstanceId to, boolean accepted, long index, long sentAt) {
+    private void sendAppendReply(InstanceId to, boolean accepted, long index, long sentAt) {
         send(to, new AppendReply(term, self, admissions.folder(), accepted, index, sentAt));
     }
 
-    // --- replication, as a leader
+    // --- replication: leader
 
-    private void onAppendReply(long now, AppendReply m) {
+    private void handleAppendReply(long now, AppendReply m) {
         if (m.term() > term) {
             adoptTerm(now, m.term());
             return;
@@ -489,41 +495,41 @@
         if (role != LogRole.LEADER || m.term() < term) {
             return;
         }
-        LogFollower f = followers.get(m.from());
+        FollowerProgress f = followers.get(m.from());
         if (f == null) {
             return;
         }
-        f.heard(m.folder(), m.sentAt());
+        f.recordReply(m.folder(), m.sentAt());
         if (m.accepted()) {
-            f.accepted(m.index());
-            admitIfReady(m.from(), f);
-            commitByQuorum(now);
-            if (f.next() <= log.lastIndex()) {
-                sendTo(now, m.from(), f);
+            f.onAccepted(m.index());
+            admitIfCaughtUp(m.from(), f);
+            advanceCommitByQuorum(now);
+            if (f.nextIndex() <= log.lastIndex()) {
+                sendAppend(now, m.from(), f);
             }
         } else {
-            f.rejected(m.index());
-            sendTo(now, m.from(), f);
+            f.onRejected(m.index());
+            sendAppend(now, m.from(), f);
         }
     }
 
-    private void admitIfReady(InstanceId voter, LogFollower f) {
-        boolean known = admissions.isCommitted(voter, f.folder());
-        if (!known && !f.admissionPending() && f.match() >= commit) {
+    private void admitIfCaughtUp(InstanceId voter, FollowerProgress f) {
+        boolean admitted = admissions.isCommitted(voter, f.folder());
+        if (!admitted && !f.hasPendingAdmission() && f.matchIndex() >= commitIndex) {
             LogAdmission admission = new LogAdmission(voter, f.folder().id());
-            f.admissionAt(appendOwn(LogEntryKind.ADMIT, admission.payload()));
+            f.setAdmissionIndex(appendAsLeader(LogEntryKind.ADMIT, admission.encode()));
         }
     }
 
-    private void commitByQuorum(long now) {
-        long agreed = followers.agreedIndex(log.lastIndex(), admissions);
-        if (agreed > commit && log.termAt(agreed) == term) {
-            advanceCommit(agreed);
-            sendToAll(now);
+    private void advanceCommitByQuorum(long now) {
+        long quorumIndex = followers.quorumMatchIndex(log.lastIndex(), admissions);
+        if (quorumIndex > commitIndex && log.termAt(quorumIndex) == term) {
+            advanceCommit(quorumIndex);
+            broadcastAppend(now);
         }
     }
 
-    private long appendOwn(LogEntryKind kind, byte[] payload) {
+    private long appendAsLeader(LogEntryKind kind, byte[] payload) {
         LogEntry entry = new LogEntry(log.lastIndex() + 1, term, kind, payload);
         log.append(entry);
         actions.add(new LogAction.SaveEntries(List.of(entry)));
@@ -533,100 +539,100 @@
         return entry.index();
     }
 
-    // --- changes of the voters
+    // --- membership changes
 
     /**
-     * Considers a newcomer as a voter. It learns the log first and does not count until its data folder is admitted, so that a
-     * quorum is never harder to reach through it. A voter that has been silent for long makes room in a change of its own.
+     * Handles a request to join the voters. The newcomer first replicates the log as a learner and does not count
+     * towards a quorum until its data folder is admitted. An unresponsive voter is removed in a separate change.
      *
      * @param now the clock in milliseconds
-     * @param newcomer the newcomer
+     * @param newcomer the instance that wants to join
      */
-    public void consider(long now, InstanceId newcomer) {
-        if (!mayChangeVoters() || voters.contains(newcomer)) {
+    public void handleJoinRequest(long now, InstanceId newcomer) {
+        if (!canChangeVoters() || voters.contains(newcomer)) {
             return;
         }
         if (!newcomer.equals(followers.learner())) {
-            if (!followers.isLearning(now)) {
-                followers.learn(newcomer, log.lastIndex(), now);
-                sendToAll(now);
+            if (!followers.hasActiveLearner(now)) {
+                followers.startLearner(newcomer, log.lastIndex(), now);
+                broadcastAppend(now);
             }
             return;
         }
-        List<InstanceId> named = succession.replacing(now, newcomer, commit);
-        if (named != null) {
-            nameVoters(now, named);
+        List<InstanceId> newVoters = membershipPolicy.nextVoters(now, newcomer, commitIndex);
+        if (newVoters != null) {
+            changeVoters(now, newVoters);
         }
     }
 
-    private void removeSurplus(long now) {
-        List<InstanceId> named = mayChangeVoters() ? succession.withoutSurplus(now) : null;
-        if (named != null) {
-            nameVoters(now, named);
+    private void removeSurplusVoter(long now) {
+        List<InstanceId> newVoters = canChangeVoters() ? membershipPolicy.votersWithoutSurplus(now) : null;
+        if (newVoters != null) {
+            changeVoters(now, newVoters);
         }
     }
 
-    /** One change at a time, and only by a leader that has committed an entry of its own term. */
-    private boolean mayChangeVoters() {
-        return role == LogRole.LEADER && log.termAt(commit) == term && voters.namedAt() <= commit;
+    /** Allows one change at a time, and only for a leader that has committed an entry of its own term. */
+    private boolean canChangeVoters() {
+        return role == LogRole.LEADER && log.termAt(commitIndex) == term && voters.lastChangeIndex() <= commitIndex;
     }
 
-    private void nameVoters(long now, List<InstanceId> named) {
-        appendOwn(LogEntryKind.VOTERS, LogVoters.payload(named));
+    private void changeVoters(long now, List<InstanceId> newVoters) {
+        appendAsLeader(LogEntryKind.VOTERS, VoterSet.encode(newVoters));
         voters.refresh();
         followers.refresh(log.lastIndex(), now);
-        sendToAll(now);
+        broadcastAppend(now);
     }
 
-    private void sendToAll(long now) {
-        heartbeatAt = now + timing.heartbeatMillis();
-        followers.all().forEach((v, f) -> sendTo(now, v, f));
+    private void broadcastAppend(long now) {
+        nextHeartbeatAt = now + timing.heartbeatIntervalMillis();
+        followers.all().forEach((v, f) -> sendAppend(now, v, f));
     }
 
-    private void sendTo(long now, InstanceId to, LogFollower f) {
+    private void sendAppend(long now, InstanceId to, FollowerProgress f) {
         lastSentAt = now;
-        long prev = f.next() - 1;
+        long prev = f.nextIndex() - 1;
         if (prev < log.baseIndex()) {
-            if (f.maySendSnapshot(now, timing.electionMillis())) {
+            if (f.tryStartSnapshot(now, timing.electionTimeoutMillis())) {
                 actions.add(new LogAction.SendSnapshot(to, term, now));
             }
             return;
         }
         prev = Math.min(prev, log.lastIndex());
-        List<LogEntry> entries = log.after(prev, MOST_ENTRIES);
-        send(to, new AppendRequest(term, self, prev, log.termAt(prev), entries, commit, now));
-        f.sentUpTo(prev + entries.size());
+        List<LogEntry> entries = log.entriesAfter(prev, MAX_BATCH_ENTRIES);
+        send(to, new AppendRequest(term, self, prev, log.termAt(prev), entries, commitIndex, now));
+        f.markSentUpTo(prev + entries.size());
     }
 
     // --- shared
 
     private void advanceCommit(long to) {
-        while (commit < to) {
-            commit++;
-            LogEntry entry = log.get(commit);
+        while (commitIndex < to) {
+            commitIndex++;
+            LogEntry entry = log.get(commitIndex);
             if (entry.kind() == LogEntryKind.ADMIT) {
-                takeAdmission(entry);
+                applyAdmission(entry);
             }
             actions.add(new LogAction.Apply(entry));
         }
     }
 
-    private void takeAdmission(LogEntry entry) {
-        admissions.commit(LogAdmission.of(entry));
-        noteOwnAdmission();
+    private void applyAdmission(LogEntry entry) {
+        admissions.recordCommitted(LogAdmission.decode(entry));
+        updateOwnAdmission();
     }
 
-    private void noteOwnAdmission() {
-        if (admissions.noteOwn()) {
+    private void updateOwnAdmission() {
+        if (admissions.markOwnAdmitted()) {
             actions.add(new LogAction.SaveFolder(admissions.folder()));
         }
         if (role == LogRole.FOLLOWER || role == LogRole.RECOVERING) {
-            role = restingRole();
+            role = passiveRole();
         }
     }
 
-    private LogRole restingRole() {
-        return admissions.mayVote() ? LogRole.FOLLOWER : LogRole.RECOVERING;
+    private LogRole passiveRole() {
+        return admissions.canVote() ? LogRole.FOLLOWER : LogRole.RECOVERING;
     }
 
     private void saveVote(long newTerm, InstanceId candidate) {
@@ -639,7 +645,7 @@
         actions.add(new LogAction.Send(to, message));
     }
 
-    private void resetElection(long now) {
-        electionAt = now + timing.electionMillis() + random.nextLong(timing.electionMillis());
+    private void resetElectionDeadline(long now) {
+        electionDeadline = now + timing.electionTimeoutMillis() + random.nextLong(timing.electionTimeoutMillis());
     }
 }
--- a/log/src/main/java/org/hallwall/log/LogRole.java
+++ b/log/src/main/java/org/hallwall/log/LogRole.java
@@ -20,14 +20,14 @@
 
 /** The role of a voter. */
 public enum LogRole {
-    /** Its data folder is not admitted: it follows, but neither votes nor counts. */
+    /** Its data folder is not admitted: it replicates the log, but neither votes nor counts towards a quorum. */
     RECOVERING,
-    /** It follows a leader or waits for one. */
+    /** It follows a leader or waits for one to be elected. */
     FOLLOWER,
-    /** It asks whether an election could be won. */
+    /** It requests pre-votes before starting an election. */
     PRE_CANDIDATE,
-    /** It stands for election. */
+    /** It requests votes. */
     CANDIDATE,
-    /** It leads. */
+    /** It replicates its log to the other voters. */
     LEADER
 }
--- a/log/src/main/java/org/hallwall/log/LogSeat.java
+++ b/log/src/main/java/org/hallwall/log/LogSeat.java
@@ -23,21 +23,21 @@
 import org.hallwall.core.id.InstanceId;
 
 /**
- * The place of a voter among the voters.
+ * The configuration of one voter.
  *
  * @param self this voter
- * @param voters all voters, this one included
- * @param disksLost how many disks may be lost at once with all that was accepted kept
- * @param timing the time limits
+ * @param voters the initial voters, including this one
+ * @param toleratedDiskFailures the number of simultaneous disk failures that must not lose accepted commands
+ * @param timing the timeouts
  */
-public record LogSeat(InstanceId self, List<InstanceId> voters, int disksLost, LogTiming timing) {
+public record LogSeat(InstanceId self, List<InstanceId> voters, int toleratedDiskFailures, LogTiming timing) {
 
     /**
-     * Creates a seat among a fixed set of voters, which survives the loss of fewer than half of them.
+     * Creates a configuration that tolerates the failure of a minority of the voters.
      *
      * @param self this voter
-     * @param voters all voters, this one included
-     * @param timing the time limits
+     * @param voters the initial voters, including this one
+     * @param timing the timeouts
      */
     public LogSeat(InstanceId self, List<InstanceId> voters, LogTiming timing) {
         this(self, voters, (voters.size() - 1) / 2, timing);
--- a/log/src/main/java/org/hallwall/log/LogSnapshot.java
+++ b/log/src/main/java/org/hallwall/log/LogSnapshot.java
@@ -24,20 +24,20 @@
 import org.hallwall.core.id.InstanceId;
 
 /**
- * The state up to an index; replaces the entries up to it.
+ * A snapshot of the state, which replaces the entries up to its index.
  *
- * @param index the last index it covers
+ * @param index the index of the last entry it covers
  * @param term the term of that entry
  * @param admitted the admitted data folder of each voter
- * @param voters the voters as of that index; empty if none were named
- * @param state the state machine's own snapshot
+ * @param voters the voters as of that index; empty if the snapshot does not include them
+ * @param state the state machine's snapshot
  */
 public record LogSnapshot(long index, long term, Map<String, String> admitted, List<InstanceId> voters, byte[] state) {
 
-    /** The snapshot before the first entry. */
+    /** The empty snapshot that precedes the first entry. */
     public static final LogSnapshot EMPTY = new LogSnapshot(0, 0, Map.of(), List.of(), new byte[0]);
 
-    /** Reads snapshots of versions that named no voters. */
+    /** Accepts snapshots of older versions, which have no voters. */
     public LogSnapshot {
         voters = voters == null ? List.of() : List.copyOf(voters);
     }
--- a/log/src/main/java/org/hallwall/log/LogState.java
+++ b/log/src/main/java/org/hallwall/log/LogState.java
@@ -28,12 +28,12 @@
  *
  * @param role its role
  * @param term its term
- * @param leader the leader it knows; null if none
+ * @param leader the current leader; null if unknown
  * @param commit the last committed index
- * @param lastIndex the last index held
+ * @param lastIndex the index of the last entry
  * @param snapshotIndex the last index covered by its snapshot
  * @param admitted the admitted data folder of each voter
- * @param voters the voters that the log names
+ * @param voters the current voters
  */
 public record LogState(
         LogRole role,
--- a/log/src/main/java/org/hallwall/log/LogStore.java
+++ b/log/src/main/java/org/hallwall/log/LogStore.java
@@ -34,10 +34,10 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Keeps a voter's state in one data folder. Each method returns only after the files are synced.
+ * Stores the persistent state of a voter in a data folder. Each write returns only after the files are synced.
  *
- * <p>The file {@code entries} is only ever appended to; one record holds one batch, and an index that comes again
- * replaces the entries from there on. It is written anew when a snapshot replaces its entries.
+ * <p>The file {@code entries} is append-only. Each record holds a batch of entries, and an index that occurs again
+ * replaces the entries from that index on. The file is rewritten when a snapshot replaces its entries.
  */
 public final class LogStore implements Closeable {
 
@@ -58,28 +58,28 @@
     }
 
     /**
-     * Makes a data folder with which an operator forms a new fleet.
+     * Creates the data folder of a voter of a new fleet.
      *
-     * @param directory the folder
-     * @throws LogStoreException if the folder is in use already or cannot be written
+     * @param directory the data folder
+     * @throws LogStoreException if the folder is already initialized or cannot be written
      */
     public static void form(Path directory) throws LogStoreException {
         if (Files.exists(directory.resolve(FOLDER))) {
-            throw new LogStoreException("the data folder is in use already");
+            throw new LogStoreException("the data folder is already initialized");
         }
         create(directory, true);
     }
 
     /**
-     * Opens a data folder; an empty one gets a new identity and must be admitted by the other voters.
+     * Opens a data folder. An empty one is initialized with a new identity, which the other voters must admit.
      *
-     * @param directory the folder
+     * @param directory the data folder
      * @return the open store
-     * @throws LogStoreException if the files are damaged or cannot be read
+     * @throws LogStoreException if the files are corrupt or cannot be read
      */
     public static LogStore open(Path directory) throws LogStoreException {
         if (!Files.exists(directory.resolve(FOLDER))) {
-            LOG.warnf("log: the data folder is empty, it must be admitted before this voter votes");
+            LOG.warnf("log: the data folder is empty and must be admitted by a quorum before this voter may vote");
             create(directory, false);
         }
         LogStore store = new LogStore(directory);
@@ -88,40 +88,40 @@
         } catch (LogStoreException e) {
             throw e;
         } catch (IOException e) {
-            throw new LogStoreException("the data folder cannot be read", e);
+            throw new LogStoreException("cannot read the data folder", e);
         }
         return store;
     }
 
     /**
-     * Gives what was stored when the folder was opened.
+     * Returns the state that was recovered when the folder was opened.
      *
-     * @return the stored state
+     * @return the recovered state
      */
     public LogStored stored() {
         return stored;
     }
 
     /**
-     * Counts the disk syncs since the folder was opened.
+     * Returns the number of disk syncs since the folder was opened.
      *
-     * @return how many
+     * @return the number of syncs
      */
     public long syncs() {
         return syncs;
     }
 
     /**
-     * Gives the size of the file of entries.
+     * Returns the size of the entries file.
      *
-     * @return bytes
+     * @return the size in bytes
      * @throws LogStoreException if the file cannot be read
      */
     public long entriesBytes() throws LogStoreException {
         try {
             return entries.size();
         } catch (IOException e) {
-            throw new LogStoreException("the entries cannot be read", e);
+            throw new LogStoreException("cannot read the size of the entries file", e);
         }
     }
 
@@ -129,7 +129,7 @@
      * Stores the term and the vote.
      *
      * @param vote the term and the vote
-     * @throws LogStoreException if the disk failed
+     * @throws LogStoreException if the write fails
      */
     public void saveVote(LogVote vote) throws LogStoreException {
         replace(directory, VOTE, vote);
@@ -137,10 +137,10 @@
     }
 
     /**
-     * Stores that the folder is admitted.
+     * Stores the identity of the data folder.
      *
-     * @param folder the folder's identity
-     * @throws LogStoreException if the disk failed
+     * @param folder the identity
+     * @throws LogStoreException if the write fails
      */
     public void saveFolder(LogFolder folder) throws LogStoreException {
         replace(directory, FOLDER, folder);
@@ -148,18 +148,18 @@
     }
 
     /**
-     * Stores a batch of entries, replacing all stored entries from the first one's index on.
+     * Appends a batch of entries, which replaces all stored entries from the index of its first entry on.
      *
      * @param batch the entries
-     * @throws LogStoreException if the disk failed
+     * @throws LogStoreException if the write fails
      */
     public void saveEntries(List<LogEntry> batch) throws LogStoreException {
         try {
-            DurableFile.writeFully(entries, LogRecords.encode(MAPPER.writeValueAsBytes(batch)));
+            DurableFile.writeFully(entries, RecordCodec.encode(MAPPER.writeValueAsBytes(batch)));
             entries.force(false);
             syncs++;
         } catch (IOException e) {
-            throw new LogStoreException("entries cannot be written", e);
+            throw new LogStoreException("cannot write the entries file", e);
         }
     }
 
@@ -167,18 +167,18 @@
      * Stores a snapshot and the entries after it.
      *
      * @param snapshot the snapshot
-     * @param kept the entries after it
-     * @throws LogStoreException if the disk failed
+     * @param retained the entries after the snapshot
+     * @throws LogStoreException if the write fails
      */
-    public void saveSnapshot(LogSnapshot snapshot, List<LogEntry> kept) throws LogStoreException {
+    public void saveSnapshot(LogSnapshot snapshot, List<LogEntry> retained) throws LogStoreException {
         replace(directory, SNAPSHOT, snapshot);
         try {
             entries.close();
-            replace(directory, ENTRIES, kept);
+            replace(directory, ENTRIES, retained);
             openEntries();
             syncs += 2;
         } catch (IOException e) {
-            throw new LogStoreException("entries cannot be written", e);
+            throw new LogStoreException("cannot write the entries file", e);
         }
     }
 
@@ -189,7 +189,7 @@
      * @throws LogStoreException if it cannot be read
      */
     public LogSnapshot snapshot() throws LogStoreException {
-        return readOne(SNAPSHOT, LogSnapshot.class);
+        return readSingleRecord(SNAPSHOT, LogSnapshot.class);
     }
 
     @Override
@@ -197,26 +197,26 @@
         try {
             entries.close();
         } catch (IOException e) {
-            throw new LogStoreException("entries cannot be closed", e);
+            throw new LogStoreException("cannot close the entries file", e);
         }
     }
 
-    private static void create(Path directory, boolean founding) throws LogStoreException {
+    private static void create(Path directory, boolean admitted) throws LogStoreException {
         try {
             Files.createDirectories(directory);
         } catch (IOException e) {
-            throw new LogStoreException("the data folder cannot be made", e);
+            throw new LogStoreException("cannot create the data folder", e);
         }
         replace(directory, VOTE, new LogVote(0, null));
         replace(directory, SNAPSHOT, LogSnapshot.EMPTY);
         replace(directory, ENTRIES, List.of());
-        // The identity comes last: a folder without it counts as empty.
-        replace(directory, FOLDER, new LogFolder(UUID.randomUUID().toString(), founding));
+        // The identity is written last: a folder without it counts as empty.
+        replace(directory, FOLDER, new LogFolder(UUID.randomUUID().toString(), admitted));
     }
 
     private void load() throws IOException {
-        LogFolder folder = readOne(FOLDER, LogFolder.class);
-        LogVote vote = readOne(VOTE, LogVote.class);
+        LogFolder folder = readSingleRecord(FOLDER, LogFolder.class);
+        LogVote vote = readSingleRecord(VOTE, LogVote.class);
         LogSnapshot snapshot = snapshot();
         openEntries();
         stored = new LogStored(folder, vote, snapshot, loadEntries(snapshot));
@@ -224,31 +224,33 @@
 
     private List<LogEntry> loadEntries(LogSnapshot snapshot) throws IOException {
         byte[] bytes = Files.readAllBytes(directory.resolve(ENTRIES));
-        LogRecords.Scan scan = LogRecords.scan(ENTRIES, bytes);
-        if (scan.end() < bytes.length) {
-            LOG.warnf("log: cut a torn tail of %d bytes", bytes.length - scan.end());
-            entries.truncate(scan.end());
+        RecordCodec.ScanResult scan = RecordCodec.scan(ENTRIES, bytes);
+        if (scan.validLength() < bytes.length) {
+            LOG.warnf(
+                    "log: truncated an incomplete record of %d bytes at the end of the entries file",
+                    bytes.length - scan.validLength());
+            entries.truncate(scan.validLength());
             entries.force(true);
         }
         List<LogEntry> loaded = new ArrayList<>();
         for (byte[] content : scan.contents()) {
             for (LogEntry e : MAPPER.readValue(content, new TypeReference<List<LogEntry>>() {})) {
-                take(loaded, e, snapshot.index());
+                mergeLoaded(loaded, e, snapshot.index());
             }
         }
         return loaded;
     }
 
-    private static void take(List<LogEntry> loaded, LogEntry e, long base) throws LogStoreException {
-        if (e.index() <= base) {
+    private static void mergeLoaded(List<LogEntry> loaded, LogEntry e, long snapshotIndex) throws LogStoreException {
+        if (e.index() <= snapshotIndex) {
             loaded.clear();
             return;
         }
-        int place = (int) (e.index() - base - 1);
-        if (place > loaded.size()) {
+        int position = (int) (e.index() - snapshotIndex - 1);
+        if (position > loaded.size()) {
             throw new LogStoreException(ENTRIES + " is damaged: index " + e.index() + " has a gap before it");
         }
-        loaded.subList(place, loaded.size()).clear();
+        loaded.subList(position, loaded.size()).clear();
         loaded.add(e);
     }
 
@@ -257,9 +259,9 @@
         entries.position(entries.size());
     }
 
-    private <T> T readOne(String file, Class<T> type) throws LogStoreException {
+    private <T> T readSingleRecord(String file, Class<T> type) throws LogStoreException {
         try {
-            LogRecords.Scan scan = LogRecords.scan(file, Files.readAllBytes(directory.resolve(file)));
+            RecordCodec.ScanResult scan = RecordCodec.scan(file, Files.readAllBytes(directory.resolve(file)));
             if (scan.contents().size() != 1) {
                 throw new LogStoreException(file + " is damaged");
             }
@@ -273,7 +275,7 @@
 
     private static void replace(Path directory, String file, Object content) throws LogStoreException {
         try {
-            DurableFile.replace(directory, file, LogRecords.encode(MAPPER.writeValueAsBytes(content)));
+            DurableFile.replace(directory, file, RecordCodec.encode(MAPPER.writeValueAsBytes(content)));
         } catch (IOException e) {
             throw new LogStoreException(file + " cannot be written", e);
         }
--- a/log/src/main/java/org/hallwall/log/LogStoreException.java
+++ b/log/src/main/java/org/hallwall/log/LogStoreException.java
@@ -20,7 +20,9 @@
 
 import java.io.IOException;
 
-/** The stored log cannot be used: the disk failed or the files are damaged. The voter must stop. */
+/**
+ * Thrown when the stored log cannot be read or written because of a disk failure or corruption. The voter must stop.
+ */
 public class LogStoreException extends IOException {
 
     private static final long serialVersionUID = 1L;
@@ -28,7 +30,7 @@
     /**
      * Creates the exception.
      *
-     * @param message what is damaged, and where
+     * @param message the detail message
      */
     public LogStoreException(String message) {
         super(message);
@@ -37,7 +39,7 @@
     /**
      * Creates the exception with its cause.
      *
-     * @param message what failed
+     * @param message the detail message
      * @param cause the cause
      */
     public LogStoreException(String message, Throwable cause) {
--- a/log/src/main/java/org/hallwall/log/LogStored.java
+++ b/log/src/main/java/org/hallwall/log/LogStored.java
@@ -21,11 +21,11 @@
 import java.util.List;
 
 /**
- * What a voter has stored.
+ * The persistent state of a voter as recovered from disk.
  *
  * @param folder the identity of the data folder
  * @param vote the term and the vote
  * @param snapshot the latest snapshot
- * @param entries the entries after it
+ * @param entries the entries after the snapshot
  */
 public record LogStored(LogFolder folder, LogVote vote, LogSnapshot snapshot, List<LogEntry> entries) {}
--- a/log/src/main/java/org/hallwall/log/LogTiming.java
+++ b/log/src/main/java/org/hallwall/log/LogTiming.java
@@ -19,26 +19,29 @@
 package org.hallwall.log;
 
 /**
- * The time limits of the log.
+ * The timeouts of the log.
  *
- * @param electionMillis the least silence of the leader before an election; the most is twice as long
- * @param heartbeatMillis how often the leader sends heartbeats
- * @param driftPercent how much two clocks may differ in rate, in percent
- * @param startProbeMillis how often a voter that has just started asks whether all others have too; zero if it never does
+ * @param electionTimeoutMillis the minimum election timeout; the maximum is twice as long
+ * @param heartbeatIntervalMillis the interval between the leader's heartbeats
+ * @param maxClockDriftPercent the maximum difference in rate between two clocks, in percent
+ * @param coldStartProbeMillis the mean interval at which a voter that has just started asks the others whether they
+ *     have, too; zero disables these probes
  */
-public record LogTiming(long electionMillis, long heartbeatMillis, int driftPercent, long startProbeMillis) {
+public record LogTiming(
+        long electionTimeoutMillis, long heartbeatIntervalMillis, int maxClockDriftPercent, long coldStartProbeMillis) {
 
-    /** The usual limits. */
+    /** The default timeouts. */
     public static final LogTiming DEFAULT = new LogTiming(800, 150, 5, 100);
 
     private static final int PERCENT = 100;
 
     /**
-     * Gives how long a leader may trust a round of heartbeats.
+     * Returns the duration of the leader lease, which is shorter than the minimum election timeout by the maximum clock
+     * drift.
      *
-     * @return the lease in milliseconds; shorter than the silence that followers wait for
+     * @return the duration in milliseconds
      */
     public long leaseMillis() {
-        return electionMillis * (PERCENT - driftPercent) / PERCENT;
+        return electionTimeoutMillis * (PERCENT - maxClockDriftPercent) / PERCENT;
     }
 }
--- a/log/src/main/java/org/hallwall/log/LogTransport.java
+++ b/log/src/main/java/org/hallwall/log/LogTransport.java
@@ -20,7 +20,7 @@
 
 import org.hallwall.core.id.InstanceId;
 
-/** Sends messages to other voters; a message may be lost. */
+/** Sends messages to other voters. Delivery is not guaranteed. */
 @FunctionalInterface
 public interface LogTransport {
 
--- a/log/src/main/java/org/hallwall/log/LogVote.java
+++ b/log/src/main/java/org/hallwall/log/LogVote.java
@@ -21,9 +21,9 @@
 import org.hallwall.core.id.InstanceId;
 
 /**
- * The term of a voter and its vote in that term; both must last.
+ * The current term of a voter and its vote in that term; both must be persistent.
  *
  * @param term the term
- * @param votedFor whom it voted for; null if it has not voted
+ * @param votedFor the candidate it voted for; null if it has not voted
  */
 public record LogVote(long term, InstanceId votedFor) {}
--- a/log/src/main/java/org/hallwall/log/LogVoter.java
+++ b/log/src/main/java/org/hallwall/log/LogVoter.java
@@ -33,13 +33,15 @@
 import org.hallwall.core.verdict.Verdict;
 import org.jboss.logging.Logger;
 
-/** Runs a replica: one thread takes messages and commands, stores what must last, applies what is committed. */
+/**
+ * Runs a replica on one thread, which handles messages and commands, stores the state and applies committed entries.
+ */
 public final class LogVoter implements Closeable {
 
     private static final Logger LOG = Logger.getLogger(LogVoter.class);
-    private static final int RING = 1_024;
+    private static final int QUEUE_CAPACITY = 1_024;
     private static final long TICK_MILLIS = 40;
-    private static final int COMPACT_AFTER = 512;
+    private static final int SNAPSHOT_THRESHOLD = 512;
 
     private final InstanceId self;
     private final LogStore store;
@@ -47,24 +49,24 @@
     private final LogTransport transport;
     private final Ticker ticker;
     private final Runnable onFailure;
-    private final DutyThread duty;
+    private final DutyThread eventLoop;
     private final LogReplica replica;
-    private final LogReads reads;
-    private final Map<Long, Pending> pending = new HashMap<>();
+    private final PendingReads reads;
+    private final Map<Long, PendingProposal> pending = new HashMap<>();
     private volatile LogState state;
-    private volatile boolean lease;
+    private volatile boolean leaseHeld;
     private boolean failed;
 
     /**
      * Creates a voter; {@link #start()} starts it.
      *
-     * @param seat the place of this voter among the voters
+     * @param seat the configuration of this voter
      * @param store the open store
      * @param machine the state machine
-     * @param transport sends messages
+     * @param transport sends messages to other voters
      * @param ticker the clock
-     * @param random the source of election timeouts
-     * @param onFailure called once when the store has failed; the process must end
+     * @param random the source of randomized election timeouts
+     * @param onFailure called once when the store has failed; the process must exit
      */
     public LogVoter(
             LogSeat seat,
@@ -83,37 +85,37 @@
         LogStored stored = store.stored();
         machine.restore(stored.snapshot().index(), stored.snapshot().state());
         this.replica = new LogReplica(seat, stored, random, ticker.millis());
-        this.reads = new LogReads(replica);
+        this.reads = new PendingReads(replica);
         this.state = replica.state();
-        this.duty = new DutyThread("log", RING, TICK_MILLIS, this::tick);
+        this.eventLoop = new DutyThread("log", QUEUE_CAPACITY, TICK_MILLIS, this::tick);
     }
 
     /** Starts the thread. */
     public void start() {
-        duty.start();
+        eventLoop.start();
     }
 
     /**
-     * Takes a message of another voter; it is dropped when the ring is full.
+     * Enqueues a message from another voter; it is dropped if the queue is full.
      *
      * @param message the message
      */
     public void receive(LogMessage message) {
-        duty.offer(() -> {
+        eventLoop.offer(() -> {
             perform(replica.receive(ticker.millis(), message));
-            answerReads();
+            advanceReads();
         });
     }
 
     /**
-     * Considers a newcomer as a voter; only a leader acts on it.
+     * Enqueues a request to join the voters; only the leader handles it.
      *
-     * @param newcomer the newcomer
+     * @param newcomer the instance that wants to join
      */
     public void consider(InstanceId newcomer) {
-        duty.offer(() -> {
-            replica.consider(ticker.millis(), newcomer);
-            perform(replica.taken());
+        eventLoop.offer(() -> {
+            replica.handleJoinRequest(ticker.millis(), newcomer);
+            perform(replica.drainActions());
         });
     }
 
@@ -121,66 +123,68 @@
      * Proposes a command.
      *
      * @param command the command
-     * @return its outcome, or a {@link LogProposalException}
+     * @return its outcome; fails with a {@link LogProposalException} if there is none
      */
     public CompletableFuture<Object> propose(byte[] command) {
         CompletableFuture<Object> outcome = new CompletableFuture<>();
-        if (!duty.offer(() -> proposeNow(command, outcome))) {
-            outcome.completeExceptionally(refused("the log's ring is full"));
+        if (!eventLoop.offer(() -> doPropose(command, outcome))) {
+            outcome.completeExceptionally(notRun("the log queue is full"));
         }
         return outcome;
     }
 
     /**
-     * Says whether this voter leads and its applied state is up to date.
+     * Returns whether this voter is the leader and holds a valid lease.
      *
-     * @return true if a read here sees every accepted change
+     * @return true if a local read sees every accepted change
      */
     public boolean holdsLease() {
-        return lease;
+        return leaseHeld;
     }
 
     /**
-     * Waits until a quorum confirms that this voter leads. No clock takes part: a machine that was suspended believes its lease, since its steady
-     * clock stood still. Costs a round of heartbeats, so it is for reads by operators.
+     * Returns the commit index once a quorum has confirmed that this voter is the leader. Unlike a lease, this is safe
+     * after a suspension of the machine, during which the monotonic clock does not advance. It costs a round of
+     * heartbeats.
      *
-     * @return the commit index, with all that was accepted before the call applied here, or a {@link LogProposalException}
+     * @return the commit index, with everything accepted before the call applied here; fails with a {@link
+     *     LogProposalException}
      */
     public CompletableFuture<Long> confirmedIndex() {
         CompletableFuture<Long> index = new CompletableFuture<>();
-        boolean taken = duty.offer(() -> {
-            reads.ask(index);
-            answerReads();
+        boolean accepted = eventLoop.offer(() -> {
+            reads.add(index);
+            advanceReads();
         });
-        if (!taken) {
-            index.completeExceptionally(refused("the log's ring is full"));
+        if (!accepted) {
+            index.completeExceptionally(notRun("the log queue is full"));
         }
         return index;
     }
 
     /**
-     * Asks for the index that a read must wait for; only a leader with a lease answers. Just after a suspension of its machine a leader may
-     * believe a lease that is over, which {@link #confirmedIndex()} does not.
+     * Returns the commit index if this voter holds a valid lease. Right after a suspension of the machine the lease may
+     * have expired unnoticed; {@link #confirmedIndex()} does not rely on it.
      *
-     * @return the commit index, or a {@link LogProposalException}
+     * @return the commit index; fails with a {@link LogProposalException}
      */
     public CompletableFuture<Long> readIndex() {
         CompletableFuture<Long> index = new CompletableFuture<>();
-        boolean taken = duty.offer(() -> {
+        boolean accepted = eventLoop.offer(() -> {
             if (replica.holdsLease(ticker.millis())) {
                 index.complete(replica.state().commit());
             } else {
-                index.completeExceptionally(refused("this voter does not lead"));
+                index.completeExceptionally(notRun("this voter is not the leader"));
             }
         });
-        if (!taken) {
-            index.completeExceptionally(refused("the log's ring is full"));
+        if (!accepted) {
+            index.completeExceptionally(notRun("the log queue is full"));
         }
         return index;
     }
 
     /**
-     * Gives the latest state of the replica.
+     * Returns the latest state of the replica.
      *
      * @return the state
      */
@@ -189,45 +193,45 @@
     }
 
     /**
-     * Gives the state of the ring.
+     * Returns the state of the task queue.
      *
      * @return the state
      */
     public DutyState dutyState() {
-        return duty.state();
+        return eventLoop.state();
     }
 
     @Override
     public void close() {
-        duty.close();
+        eventLoop.close();
     }
 
     private void tick() {
         perform(replica.tick(ticker.millis()));
-        lease = replica.holdsLease(ticker.millis());
-        answerReads();
+        leaseHeld = replica.holdsLease(ticker.millis());
+        advanceReads();
     }
 
-    private void answerReads() {
-        reads.step(ticker.millis(), () -> refused("this voter does not lead"));
-        perform(replica.taken());
+    private void advanceReads() {
+        reads.advance(ticker.millis(), () -> notRun("this voter is not the leader"));
+        perform(replica.drainActions());
     }
 
-    private void proposeNow(byte[] command, CompletableFuture<Object> outcome) {
+    private void doPropose(byte[] command, CompletableFuture<Object> outcome) {
         if (failed) {
-            outcome.completeExceptionally(refused("the store has failed"));
+            outcome.completeExceptionally(notRun("the log storage has failed"));
             return;
         }
         OptionalLong index = replica.propose(ticker.millis(), command);
         if (index.isEmpty()) {
-            outcome.completeExceptionally(refused("this voter does not lead"));
+            outcome.completeExceptionally(notRun("this voter is not the leader"));
             return;
         }
-        pending.put(index.getAsLong(), new Pending(replica.state().term(), outcome));
-        perform(replica.taken());
+        pending.put(index.getAsLong(), new PendingProposal(replica.state().term(), outcome));
+        perform(replica.drainActions());
     }
 
-    private LogProposalException refused(String message) {
+    private LogProposalException notRun(String message) {
         return new LogProposalException(Verdict.NOT_RUN, message, state.leader());
     }
 
@@ -237,37 +241,37 @@
         }
         try {
             for (LogAction a : actions) {
-                performOne(a);
+                performAction(a);
             }
-            compactIfLong();
+            compactIfNeeded();
         } catch (LogStoreException e) {
             failed = true;
-            LOG.errorf(e, "log: the store has failed, this voter stops");
+            LOG.errorf(e, "log: storage failure, stopping this voter");
             onFailure.run();
         }
         publish();
     }
 
     private void publish() {
-        LogState before = state;
+        LogState previous = state;
         state = replica.state();
-        if (before.role() != state.role()) {
+        if (previous.role() != state.role()) {
             LOG.infof("log: %s is now %s in term %d", self, state.role(), state.term());
         }
-        if (!before.voters().equals(state.voters())) {
+        if (!previous.voters().equals(state.voters())) {
             LOG.infof("log: the voters are now %s", state.voters());
         }
     }
 
-    private void performOne(LogAction action) throws LogStoreException {
+    private void performAction(LogAction action) throws LogStoreException {
         if (action instanceof LogAction.SaveVote a) {
             store.saveVote(a.vote());
         } else if (action instanceof LogAction.SaveFolder a) {
             store.saveFolder(a.folder());
         } else if (action instanceof LogAction.SaveEntries a) {
             store.saveEntries(a.entries());
-        } else if (action instanceof LogAction.Restore a) {
-            store.saveSnapshot(a.snapshot(), a.kept());
+        } else if (action instanceof LogAction.InstallSnapshot a) {
+            store.saveSnapshot(a.snapshot(), a.retained());
             machine.restore(a.snapshot().index(), a.snapshot().state());
         } else if (action instanceof LogAction.Apply a) {
             apply(a.entry());
@@ -285,32 +289,32 @@
         } else {
             machine.skip(entry.index());
         }
-        Pending p = pending.remove(entry.index());
+        PendingProposal p = pending.remove(entry.index());
         if (p == null) {
             return;
         }
         if (p.term == entry.term()) {
             p.outcome.complete(outcome);
         } else {
-            p.outcome.completeExceptionally(refused("another leader's entry took the place"));
+            p.outcome.completeExceptionally(notRun("the entry was overwritten by another leader"));
         }
     }
 
-    private void compactIfLong() throws LogStoreException {
-        if (replica.committedSinceSnapshot() < COMPACT_AFTER) {
+    private void compactIfNeeded() throws LogStoreException {
+        if (replica.committedSinceSnapshot() < SNAPSHOT_THRESHOLD) {
             return;
         }
         LogSnapshot snapshot = replica.compact(machine.snapshot());
         store.saveSnapshot(snapshot, replica.entriesAfterSnapshot());
     }
 
-    /** A command that waits for its commit. */
-    private static final class Pending {
+    /** A proposed command that waits for its commit. */
+    private static final class PendingProposal {
 
         private final long term;
         private final CompletableFuture<Object> outcome;
 
-        Pending(long term, CompletableFuture<Object> outcome) {
+        PendingProposal(long term, CompletableFuture<Object> outcome) {
             this.term = term;
             this.outcome = outcome;
         }
--- /dev/null
+++ b/log/src/main/java/org/hallwall/log/MembershipPolicy.java
@@ -0,0 +1,84 @@
+/*
+ * Licensed to the hallwall project under one or more contributor
+ * license agreements.  See the NOTICE file distributed with
+ * this work for additional information regarding copyright
+ * ownership.  The hallwall project licenses this file to You
+ * under the Apache License, Version 2.0 (the "License"); you may
+ * not use this file except in compliance with the License.
+ * You may obtain a copy of the License at
+ *
+ *   https://www.apache.org/licenses/LICENSE-2.0
+ *
+ * Unless required by applicable law or agreed to in writing,
+ * software distributed under the License is distributed on an
+ * "AS IS" BASIS, WITHOUT WARRANTIES OR CONDITIONS OF ANY
+ * KIND, either express or implied.  See the License for the
+ * specific language governing permissions and limitations
+ * under the License.
+ */
+package org.hallwall.log;
+
+import java.util.List;
+
+import org.hallwall.core.id.InstanceId;
+
+/**
+ * Decides when voters are added and removed.
+ *
+ * <p>Every instance that asks becomes a voter, up to a maximum, since targets and operators cannot use an instance that
+ * is not a voter. An even-sized set tolerates no more failures than the next smaller odd one, but needs one more reply
+ * to commit.
+ */
+final class MembershipPolicy {
+
+    /** A smaller set does not tolerate any failure. */
+    private static final int MIN_VOTERS = 3;
+    /** Larger sets only make commits slower. */
+    private static final int MAX_VOTERS = 9;
+    /** How long a voter may be unresponsive before it can be removed; longer than a process restart. */
+    private static final long REMOVAL_TIMEOUT_MILLIS = 3_000;
+    /** How long a voter may be unresponsive before no more voters are added, since it may have to be removed. */
+    private static final long UNRESPONSIVE_MILLIS = 1_000;
+
+    private final int targetSize;
+    private final VoterSet voters;
+    private final FollowerTracker followers;
+    private final LogAdmissions admissions;
+
+    /** Sizes the set so that a quorum exceeds the number of tolerated disk failures. */
+    MembershipPolicy(int toleratedDiskFailures, VoterSet voters, FollowerTracker followers, LogAdmissions admissions) {
+        this.targetSize = Math.max(MIN_VOTERS, 2 * toleratedDiskFailures + 1);
+        this.voters = voters;
+        this.followers = followers;
+        this.admissions = admissions;
+    }
+
+    /** Returns the voters after the next change for a learner that wants to join; null if no change is due. */
+    List<InstanceId> nextVoters(long now, InstanceId newcomer, long commit) {
+        int size = voters.all().size();
+        InstanceId unresponsive = followers.longestSilentVoter(now, REMOVAL_TIMEOUT_MILLIS);
+        if (unresponsive != null && size >= targetSize) {
+            return voters.without(unresponsive);
+        }
+        boolean allResponsive = followers.longestSilentVoter(now, UNRESPONSIVE_MILLIS) == null;
+        boolean hasCapacity = size < targetSize || (size < MAX_VOTERS && allResponsive);
+        return hasCapacity && hasCaughtUp(newcomer, commit) ? voters.with(newcomer) : null;
+    }
+
+    /**
+     * Returns the voters without an unresponsive one if there are more than the target size; null if no change is due.
+     */
+    List<InstanceId> votersWithoutSurplus(long now) {
+        if (voters.all().size() <= targetSize) {
+            return null;
+        }
+        InstanceId unresponsive = followers.longestSilentVoter(now, REMOVAL_TIMEOUT_MILLIS);
+        return unresponsive == null ? null : voters.without(unresponsive);
+    }
+
+    private boolean hasCaughtUp(InstanceId newcomer, long commit) {
+        FollowerProgress f = followers.get(newcomer);
+        boolean reportsAdmission = f.folder() != null && f.folder().admitted();
+        return reportsAdmission && admissions.isCommitted(newcomer, f.folder()) && f.matchIndex() >= commit;
+    }
+}
--- a/log/src/main/java/org/hallwall/log/LogReads.java
+++ b/log/src/main/java/org/hallwall/log/PendingReads.java
@@ -25,52 +25,52 @@
 import java.util.function.Supplier;
 
 /**
- * Reads that wait until a quorum has confirmed that this voter still leads. A lease goes by a clock, and a machine that is suspended does not
- * count that time; a quorum that follows another leader does not answer. Not safe for use by several threads.
+ * Reads that wait until a quorum has confirmed that this voter is still the leader. A lease is not sufficient, since
+ * the clock does not advance while the machine is suspended. Not thread-safe.
  */
-final class LogReads {
+final class PendingReads {
 
     private final LogReplica replica;
-    private final List<CompletableFuture<Long>> asked = new ArrayList<>();
-    private final List<Round> rounds = new ArrayList<>();
+    private final List<CompletableFuture<Long>> queued = new ArrayList<>();
+    private final List<HeartbeatRound> rounds = new ArrayList<>();
 
-    LogReads(LogReplica replica) {
+    PendingReads(LogReplica replica) {
         this.replica = replica;
     }
 
-    /** Takes a read; a round that has begun before does not speak for it. */
-    void ask(CompletableFuture<Long> index) {
-        asked.add(index);
+    /** Adds a read, which is confirmed by the next round of heartbeats; rounds in progress do not count. */
+    void add(CompletableFuture<Long> index) {
+        queued.add(index);
     }
 
-    /** Begins a round for what was asked and answers what is confirmed; a read of a term that is over is refused. */
-    void step(long now, Supplier<LogProposalException> refusal) {
+    /** Starts a round for the queued reads and completes those that are confirmed; reads of an earlier term fail. */
+    void advance(long now, Supplier<LogProposalException> rejection) {
         LogState state = replica.state();
         if (state.role() != LogRole.LEADER) {
-            asked.forEach(f -> f.completeExceptionally(refusal.get()));
-            asked.clear();
-        } else if (!asked.isEmpty()) {
-            OptionalLong sentAt = replica.confirm(now);
+            queued.forEach(f -> f.completeExceptionally(rejection.get()));
+            queued.clear();
+        } else if (!queued.isEmpty()) {
+            OptionalLong sentAt = replica.startConfirmationRound(now);
             if (sentAt.isPresent()) {
-                rounds.add(new Round(sentAt.getAsLong(), state.term(), List.copyOf(asked)));
-                asked.clear();
+                rounds.add(new HeartbeatRound(sentAt.getAsLong(), state.term(), List.copyOf(queued)));
+                queued.clear();
             }
         }
-        rounds.removeIf(r -> isOver(r, state, refusal));
+        rounds.removeIf(r -> tryComplete(r, state, rejection));
     }
 
-    private boolean isOver(Round round, LogState state, Supplier<LogProposalException> refusal) {
+    private boolean tryComplete(HeartbeatRound round, LogState state, Supplier<LogProposalException> rejection) {
         if (state.role() != LogRole.LEADER || state.term() != round.term()) {
-            round.reads().forEach(f -> f.completeExceptionally(refusal.get()));
+            round.reads().forEach(f -> f.completeExceptionally(rejection.get()));
             return true;
         }
-        if (replica.isConfirmed(round.sentAt())) {
+        if (replica.isRoundConfirmed(round.sentAt())) {
             round.reads().forEach(f -> f.complete(state.commit()));
             return true;
         }
         return false;
     }
 
-    /** Reads that the answers to one round of heartbeats confirm. */
-    private record Round(long sentAt, long term, List<CompletableFuture<Long>> reads) {}
+    /** The reads that one round of heartbeats confirms. */
+    private record HeartbeatRound(long sentAt, long term, List<CompletableFuture<Long>> reads) {}
 }
--- a/log/src/main/java/org/hallwall/log/LogRecords.java
+++ b/log/src/main/java/org/hallwall/log/RecordCodec.java
@@ -23,55 +23,58 @@
 import java.util.List;
 import java.util.zip.CRC32C;
 
-/** The records of a stored file: a mark, a length, a checksum, the content. */
-final class LogRecords {
+/** Encodes and decodes the records of a stored file: magic number, length, checksum, content. */
+final class RecordCodec {
 
-    private static final int MARK = 0x4857_4C31;
-    private static final int HEADER = 12;
+    private static final int MAGIC = 0x4857_4C31;
+    private static final int HEADER_BYTES = 12;
 
-    private LogRecords() {}
+    private RecordCodec() {}
 
     static ByteBuffer encode(byte[] content) {
-        ByteBuffer out = ByteBuffer.allocate(HEADER + content.length);
-        out.putInt(MARK).putInt(content.length).putInt(checksum(content)).put(content);
+        ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + content.length);
+        out.putInt(MAGIC).putInt(content.length).putInt(checksum(content)).put(content);
         return out.flip();
     }
 
-    /** Reads all records and stops at a torn tail; a bad record with a good one behind it is damage. */
-    static Scan scan(String file, byte[] bytes) throws LogStoreException {
+    /**
+     * Reads all records up to an incomplete one at the end; an invalid record before a valid one is reported as
+     * corruption.
+     */
+    static ScanResult scan(String file, byte[] bytes) throws LogStoreException {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         List<byte[]> contents = new ArrayList<>();
         int at = 0;
         while (at < bytes.length) {
             byte[] content = read(in, at);
             if (content == null) {
-                requireTail(file, in, at);
+                requireTornTail(file, in, at);
                 break;
             }
             contents.add(content);
-            at += HEADER + content.length;
+            at += HEADER_BYTES + content.length;
         }
-        return new Scan(contents, at);
+        return new ScanResult(contents, at);
     }
 
-    private static void requireTail(String file, ByteBuffer in, int bad) throws LogStoreException {
-        for (int at = bad + 1; at + HEADER <= in.limit(); at++) {
-            if (in.getInt(at) == MARK && read(in, at) != null) {
-                throw new LogStoreException(file + " is damaged at byte " + bad + ": a good record follows at " + at);
+    private static void requireTornTail(String file, ByteBuffer in, int bad) throws LogStoreException {
+        for (int at = bad + 1; at + HEADER_BYTES <= in.limit(); at++) {
+            if (in.getInt(at) == MAGIC && read(in, at) != null) {
+                throw new LogStoreException(file + " is damaged at byte " + bad + ": a valid record follows at " + at);
             }
         }
     }
 
     private static byte[] read(ByteBuffer in, int at) {
-        if (at + HEADER > in.limit() || in.getInt(at) != MARK) {
+        if (at + HEADER_BYTES > in.limit() || in.getInt(at) != MAGIC) {
             return null;
         }
         int length = in.getInt(at + 4);
-        if (length < 0 || length > in.limit() - at - HEADER) {
+        if (length < 0 || length > in.limit() - at - HEADER_BYTES) {
             return null;
         }
         byte[] content = new byte[length];
-        in.get(at + HEADER, content);
+        in.get(at + HEADER_BYTES, content);
         return checksum(content) == in.getInt(at + 8) ? content : null;
     }
 
@@ -84,8 +87,8 @@
     /**
      * The records of a file.
      *
-     * @param contents the contents in order
-     * @param end where the good records end
+     * @param contents the contents of the records in order
+     * @param validLength the length of the valid records in bytes
      */
-    record Scan(List<byte[]> contents, int end) {}
+    record ScanResult(List<byte[]> contents, int validLength) {}
 }
--- a/log/src/main/java/org/hallwall/log/LogVoters.java
+++ b/log/src/main/java/org/hallwall/log/VoterSet.java
@@ -26,58 +26,58 @@
 import org.hallwall.core.id.InstanceId;
 
 /**
- * Who the voters are: what the latest entry that names them says, whether it is committed or not.
+ * The current voters: those of the latest voter entry in the log, committed or not.
  *
- * <p>Voters change one at a time, so that each quorum before a change meets each quorum after it.
+ * <p>Voters change one at a time, so that any quorum before a change overlaps any quorum after it.
  */
-final class LogVoters {
+final class VoterSet {
 
     private static final String SEPARATOR = "\n";
 
     private final InstanceId self;
-    private final LogIndex log;
-    private List<InstanceId> base;
+    private final InMemoryLog log;
+    private List<InstanceId> snapshotVoters;
     private List<InstanceId> all;
     private List<InstanceId> others;
-    private long namedAt;
+    private long lastChangeIndex;
 
-    LogVoters(InstanceId self, List<InstanceId> base, LogIndex log) {
+    VoterSet(InstanceId self, List<InstanceId> snapshotVoters, InMemoryLog log) {
         this.self = self;
-        this.base = base;
+        this.snapshotVoters = snapshotVoters;
         this.log = log;
         refresh();
     }
 
-    static byte[] payload(List<InstanceId> voters) {
+    static byte[] encode(List<InstanceId> voters) {
         String text =
                 String.join(SEPARATOR, voters.stream().map(InstanceId::value).toList());
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Looks at the log again, because entries were added, cut or dropped. */
+    /** Reloads the voters after the log has changed. */
     void refresh() {
-        namedAt = log.lastOf(LogEntryKind.VOTERS, log.lastIndex());
-        all = namedAt == 0 ? base : parse(log.get(namedAt));
+        lastChangeIndex = log.lastIndexOf(LogEntryKind.VOTERS, log.lastIndex());
+        all = lastChangeIndex == 0 ? snapshotVoters : decode(log.get(lastChangeIndex));
         others = all.stream().filter(v -> !v.equals(self)).toList();
     }
 
-    /** Notes that the log up to an index is about to be dropped. */
+    /** Retains the voters as of an index before the log is compacted up to it. */
     void compact(long upTo) {
-        base = at(upTo);
+        snapshotVoters = votersAt(upTo);
     }
 
-    /** Replaces what is known by a snapshot's list; an empty one is of a snapshot that names none. */
+    /** Installs the voters of a snapshot; an empty list means that the snapshot does not include them. */
     void restore(List<InstanceId> voters) {
         if (!voters.isEmpty()) {
-            base = List.copyOf(voters);
+            snapshotVoters = List.copyOf(voters);
         }
         refresh();
     }
 
-    /** Gives the voters as of an index. */
-    List<InstanceId> at(long index) {
-        long named = log.lastOf(LogEntryKind.VOTERS, index);
-        return named == 0 ? base : parse(log.get(named));
+    /** Returns the voters as of an index. */
+    List<InstanceId> votersAt(long index) {
+        long changeIndex = log.lastIndexOf(LogEntryKind.VOTERS, index);
+        return changeIndex == 0 ? snapshotVoters : decode(log.get(changeIndex));
     }
 
     List<InstanceId> all() {
@@ -96,9 +96,9 @@
         return all.size() / 2 + 1;
     }
 
-    /** The index of the entry that names the voters; zero if none in the log does. */
-    long namedAt() {
-        return namedAt;
+    /** Returns the index of the latest voter entry; zero if the log has none. */
+    long lastChangeIndex() {
+        return lastChangeIndex;
     }
 
     List<InstanceId> with(InstanceId voter) {
@@ -111,7 +111,7 @@
         return all.stream().filter(v -> !v.equals(voter)).toList();
     }
 
-    private static List<InstanceId> parse(LogEntry entry) {
+    private static List<InstanceId> decode(LogEntry entry) {
         String text = new String(entry.payload(), StandardCharsets.UTF_8);
         return Arrays.stream(text.split(SEPARATOR)).map(InstanceId::new).toList();
     }
--- a/log/src/main/java/org/hallwall/log/package-info.java
+++ b/log/src/main/java/org/hallwall/log/package-info.java
@@ -17,9 +17,10 @@
  * under the License.
  */
 /**
- * The replicated log of declarations.
+ * The replicated log, a Raft implementation.
  *
- * <p>{@link org.hallwall.log.LogReplica} decides (messages in, actions out, no clock and no I/O of its own);
- * {@link org.hallwall.log.LogVoter} carries the actions out; {@link org.hallwall.log.LogStore} keeps what must last.
+ * <p>{@link org.hallwall.log.LogReplica} is the consensus state machine: it turns messages into actions and neither
+ * reads a clock nor does I/O. {@link org.hallwall.log.LogVoter} carries out the actions, and {@link
+ * org.hallwall.log.LogStore} persists the state.
  */
 package org.hallwall.log;
--- a/log/src/test/java/org/hallwall/log/LogReadsTest.java
+++ b/log/src/test/java/org/hallwall/log/LogReadsTest.java
@@ -34,41 +34,43 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which answers of a quorum confirm a read: those to messages that were sent after it came, and no others. */
+/** Verifies that only quorum replies to messages sent after a read confirm that read. */
 class LogReadsTest {
 
     private static final int VOTERS = 3;
     private static final int STEP_MILLIS = 10;
-    private static final int MOST_STEPS = 1_000;
+    private static final int MAX_STEPS = 1_000;
 
     private final Map<InstanceId, LogReplica> replicas = new LinkedHashMap<>();
-    private final Deque<Flight> network = new ArrayDeque<>();
+    private final Deque<InFlightMessage> network = new ArrayDeque<>();
     private final Set<InstanceId> suspended = new HashSet<>();
     private final CompletableFuture<Long> read = new CompletableFuture<>();
     private long now = 1_000;
     private InstanceId leader;
-    private LogReads reads;
+    private PendingReads reads;
 
     @BeforeEach
-    void elect() {
+    void electLeader() {
         List<InstanceId> ids = List.of(new InstanceId("c-0"), new InstanceId("c-1"), new InstanceId("c-2"));
         Assertions.assertEquals(VOTERS, ids.size());
         for (InstanceId id : ids) {
-            LogStored blank =
+            LogStored emptyState =
                     new LogStored(new LogFolder(id + "-0", true), new LogVote(0, null), LogSnapshot.EMPTY, List.of());
             replicas.put(
-                    id, new LogReplica(new LogSeat(id, ids, LogTiming.DEFAULT), blank, new Random(id.hashCode()), now));
+                    id,
+                    new LogReplica(
+                            new LogSeat(id, ids, LogTiming.DEFAULT), emptyState, new Random(id.hashCode()), now));
         }
         leader = awaitLeader();
-        reads = new LogReads(replicas.get(leader));
+        reads = new PendingReads(replicas.get(leader));
     }
 
     private InstanceId awaitLeader() {
-        for (int i = 0; i < MOST_STEPS; i++) {
+        for (int i = 0; i < MAX_STEPS; i++) {
             now += STEP_MILLIS;
             replicas.forEach((id, r) -> {
                 if (!suspended.contains(id)) {
-                    take(id, r.tick(now));
+                    enqueue(id, r.tick(now));
                 }
             });
             deliver();
@@ -81,77 +83,79 @@
         throw new AssertionError("no leader");
     }
 
-    private void take(InstanceId from, List<LogAction> actions) {
+    private void enqueue(InstanceId from, List<LogAction> actions) {
         for (LogAction a : actions) {
             if (a instanceof LogAction.Send s) {
-                network.add(new Flight(from, s.to(), s.message()));
+                network.add(new InFlightMessage(from, s.to(), s.message()));
             }
         }
     }
 
     private void deliver() {
         while (!network.isEmpty()) {
-            Flight f = network.poll();
+            InFlightMessage f = network.poll();
             if (!suspended.contains(f.to()) && !suspended.contains(f.from())) {
-                take(f.to(), replicas.get(f.to()).receive(now, f.message()));
+                enqueue(f.to(), replicas.get(f.to()).receive(now, f.message()));
             }
         }
     }
 
-    private void step() {
-        reads.step(now, () -> new LogProposalException(Verdict.NOT_RUN, "not the leader", null));
-        take(leader, replicas.get(leader).taken());
+    private void advance() {
+        reads.advance(now, () -> new LogProposalException(Verdict.NOT_RUN, "not the leader", null));
+        enqueue(leader, replicas.get(leader).drainActions());
     }
 
     @Test
-    void aRoundOfHeartbeatsConfirms() {
+    void heartbeatRoundConfirmsRead() {
         now++;
-        reads.ask(read);
-        step();
-        Assertions.assertFalse(read.isDone(), "before any answer");
+        reads.add(read);
+        advance();
+        Assertions.assertFalse(read.isDone(), "before any reply");
         deliver();
-        step();
+        advance();
         Assertions.assertEquals(replicas.get(leader).state().commit(), read.join());
     }
 
     @Test
-    void answersToEarlierMessagesDoNot() {
+    void repliesToEarlierMessagesDoNotConfirmRead() {
         now++;
-        Assertions.assertTrue(replicas.get(leader).confirm(now).isPresent(), "heartbeats of this millisecond");
-        take(leader, replicas.get(leader).taken());
-        reads.ask(read);
-        step();
+        Assertions.assertTrue(
+                replicas.get(leader).startConfirmationRound(now).isPresent(), "heartbeats of this millisecond");
+        enqueue(leader, replicas.get(leader).drainActions());
+        reads.add(read);
+        advance();
         deliver();
-        step();
-        Assertions.assertFalse(read.isDone(), "the answers may have been on their way for long");
+        advance();
+        Assertions.assertFalse(read.isDone(), "replies to earlier messages do not confirm a later read");
         now++;
-        step();
+        advance();
         deliver();
-        step();
+        advance();
         Assertions.assertTrue(read.isDone());
     }
 
     @Test
-    void aLeaderThatWasSuspendedRefusesOnceItHearsOfAnother() {
-        InstanceId first = leader;
-        long stoodAt = now;
-        suspended.add(first);
+    void suspendedLeaderFailsReadOnceItSeesNewLeader() {
+        InstanceId suspendedLeader = leader;
+        long suspendedAt = now;
+        suspended.add(suspendedLeader);
         leader = awaitLeader();
-        Assertions.assertNotEquals(first, leader);
+        Assertions.assertNotEquals(suspendedLeader, leader);
 
-        long later = now;
-        leader = first;
-        now = stoodAt + 1;
-        Assertions.assertTrue(replicas.get(first).holdsLease(now), "by its own clock it holds the lease");
-        reads.ask(read);
-        step();
+        long resumedAt = now;
+        leader = suspendedLeader;
+        now = suspendedAt + 1;
+        Assertions.assertTrue(
+                replicas.get(suspendedLeader).holdsLease(now), "the lease is still valid by its own clock");
+        reads.add(read);
+        advance();
         Assertions.assertFalse(read.isDone());
         suspended.clear();
         deliver();
-        now = later;
-        step();
+        now = resumedAt;
+        advance();
         Assertions.assertTrue(read.isCompletedExceptionally());
     }
 
-    private record Flight(InstanceId from, InstanceId to, LogMessage message) {}
+    private record InFlightMessage(InstanceId from, InstanceId to, LogMessage message) {}
 }
--- a/log/src/test/java/org/hallwall/log/LogReplicaPropertyTest.java
+++ b/log/src/test/java/org/hallwall/log/LogReplicaPropertyTest.java
@@ -27,7 +27,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Drives replicas through seeded schedules; a failing seed is printed. */
+/** Runs replicas through randomized fault schedules from fixed seeds. */
 class LogReplicaPropertyTest {
 
     @Property(tries = 1400, seed = "20261202", shrinking = ShrinkingMode.OFF)
@@ -40,33 +40,38 @@
         assertTrue(new LogSimulation(seed, 5).run() > 0);
     }
 
-    /** Instances go for good and blank ones come at other addresses. */
+    /** Instances are lost permanently and replaced by empty ones at other addresses. */
     @Property(tries = 600, seed = "20261202", shrinking = ShrinkingMode.OFF)
-    void votersAreReplaced(@ForAll @LongRange(min = 0, max = 1_000_000_000) long seed) {
-        assertTrue(new LogSimulation(seed, 3, true, LogSimulation.WAITING).run() > 0);
+    void votersAgreeAcrossReplacements(@ForAll @LongRange(min = 0, max = 1_000_000_000) long seed) {
+        assertTrue(new LogSimulation(seed, 3, true, LogSimulation.WITHOUT_COLD_START_PROBES).run() > 0);
     }
 
-    /** All lose power at once, and the first election does not wait if all tell that they have just started. */
+    /** All voters lose power at once; the first election skips the wait if all of them have just started. */
     @Property(tries = 600, seed = "20261202", shrinking = ShrinkingMode.OFF)
-    void votersThatHaveAllJustStartedAgree(@ForAll @LongRange(min = 0, max = 1_000_000_000) long seed) {
-        assertTrue(new LogSimulation(seed, 3, false, LogSimulation.ASKING).run() > 0);
-        assertTrue(new LogSimulation(seed, 5, false, LogSimulation.ASKING).run() > 0);
+    void votersAgreeAfterColdStart(@ForAll @LongRange(min = 0, max = 1_000_000_000) long seed) {
+        assertTrue(new LogSimulation(seed, 3, false, LogSimulation.WITH_COLD_START_PROBES).run() > 0);
+        assertTrue(new LogSimulation(seed, 5, false, LogSimulation.WITH_COLD_START_PROBES).run() > 0);
     }
 
-    /** The load: all power is lost; a vote that waits for the lease that nobody can hold costs an election timeout of service. */
+    /** Guards against a first election after a power loss that waits for a lease that cannot exist. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void theFirstElectionAfterALossOfAllPowerDoesNotWait(long seed) {
-        long waiting = new LogSimulation(seed, 3, false, LogSimulation.WAITING).millisToFirstLeader();
-        long asking = new LogSimulation(seed, 3, false, LogSimulation.ASKING).millisToFirstLeader();
-        assertTrue(waiting >= LogSimulation.WAITING.electionMillis(), "waits " + waiting);
-        assertTrue(asking <= 3 * LogSimulation.ASKING.startProbeMillis(), "does not wait " + asking);
+    void firstElectionAfterPowerLossDoesNotWait(long seed) {
+        long withoutProbes =
+                new LogSimulation(seed, 3, false, LogSimulation.WITHOUT_COLD_START_PROBES).millisToFirstLeader();
+        long withProbes = new LogSimulation(seed, 3, false, LogSimulation.WITH_COLD_START_PROBES).millisToFirstLeader();
+        assertTrue(
+                withoutProbes >= LogSimulation.WITHOUT_COLD_START_PROBES.electionTimeoutMillis(),
+                "without probes: " + withoutProbes);
+        assertTrue(
+                withProbes <= 3 * LogSimulation.WITH_COLD_START_PROBES.coldStartProbeMillis(),
+                "with probes: " + withProbes);
     }
 
-    /** A schedule that failed once: a voter forgot on a restart that its new data folder had been admitted. */
+    /** Regression: a voter lost the admission of its new data folder on a restart. */
     @ParameterizedTest
     @ValueSource(longs = {509})
-    void failedOnce(long seed) {
+    void admissionSurvivesRestart(long seed) {
         assertTrue(new LogSimulation(seed, 3).run() > 0);
     }
 }
--- a/log/src/test/java/org/hallwall/log/LogSimulation.java
+++ b/log/src/test/java/org/hallwall/log/LogSimulation.java
@@ -37,15 +37,15 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /**
- * Runs voters through one seeded schedule of lost, doubled and reordered messages, cuts, crashes and lost disks, and
- * checks what must hold after each step.
+ * Simulates voters under one seeded schedule of lost, duplicated and reordered messages, partitions, crashes and disk
+ * losses, and checks the safety properties after each step.
  */
 final class LogSimulation {
 
-    /** The limits of schedules in which every start waits for one election timeout. */
-    static final LogTiming WAITING = new LogTiming(200, 40, 5, 0);
-    /** The limits of schedules in which voters ask whether all have just started, and all lose power now and then. */
-    static final LogTiming ASKING = new LogTiming(200, 40, 5, 40);
+    /** Every start waits for one election timeout. */
+    static final LogTiming WITHOUT_COLD_START_PROBES = new LogTiming(200, 40, 5, 0);
+    /** Voters probe whether all have just started, and all crash at once now and then. */
+    static final LogTiming WITH_COLD_START_PROBES = new LogTiming(200, 40, 5, 40);
 
     static final int CRASH_ONE_IN = 400;
     private static final int STEPS = 2_500;
@@ -54,25 +54,27 @@
 
     private final Random random;
     private final Map<InstanceId, SimulatedVoter> voters = new LinkedHashMap<>();
-    private final PriorityQueue<Flight> network = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
-    private final Set<InstanceId> cutOff = new HashSet<>();
+    private final PriorityQueue<InFlightMessage> network = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+    private final Set<InstanceId> partitioned = new HashSet<>();
     private final Map<Long, InstanceId> leaders = new HashMap<>();
     private final Map<Long, LogEntry> committed = new HashMap<>();
-    private final boolean replacing;
+    private final boolean replaceInstances;
     private final LogTiming timing;
     private InstanceId newcomer;
-    private int replaced;
-    private boolean calm;
+    private int replacements;
+    private boolean faultFree;
     private long now;
     private int proposals;
 
     LogSimulation(long seed, int size) {
-        this(seed, size, false, WAITING);
+        this(seed, size, false, WITHOUT_COLD_START_PROBES);
     }
 
-    /** With replacing, instances go for good and blank ones come at other addresses. */
-    LogSimulation(long seed, int size, boolean replacing, LogTiming timing) {
-        this.replacing = replacing;
+    /**
+     * If {@code replaceInstances} is set, instances are lost permanently and replaced by empty ones at other addresses.
+     */
+    LogSimulation(long seed, int size, boolean replaceInstances, LogTiming timing) {
+        this.replaceInstances = replaceInstances;
         this.timing = timing;
         random = new Random(seed);
         List<InstanceId> ids = new ArrayList<>();
@@ -86,19 +88,19 @@
         }
     }
 
-    /** Runs the schedule, lets the voters settle, and returns how many entries were committed. */
+    /** Runs the schedule, waits until the voters have converged, and returns the number of committed entries. */
     long run() {
         for (int i = 0; i < STEPS; i++) {
-            disturb();
+            injectFault();
             step();
         }
         settle();
         return committed.size();
     }
 
-    /** Runs voters that start together, without faults, and returns how long they have no leader, in milliseconds. */
+    /** Starts all voters together without faults and returns the milliseconds until the first leader is elected. */
     long millisToFirstLeader() {
-        calm = true;
+        faultFree = true;
         while (leaders.isEmpty()) {
             step();
         }
@@ -110,25 +112,25 @@
     }
 
     boolean mayCrash() {
-        return !calm;
+        return !faultFree;
     }
 
     void send(long at, InstanceId from, InstanceId to, LogMessage message) {
-        if (!calm && random.nextInt(20) == 0) {
+        if (!faultFree && random.nextInt(20) == 0) {
             return;
         }
-        network.add(new Flight(at + 1 + random.nextInt(calm ? 5 : 60), from, to, message));
-        if (!calm && random.nextInt(30) == 0) {
-            network.add(new Flight(at + 1 + random.nextInt(300), from, to, message));
+        network.add(new InFlightMessage(at + 1 + random.nextInt(faultFree ? 5 : 60), from, to, message));
+        if (!faultFree && random.nextInt(30) == 0) {
+            network.add(new InFlightMessage(at + 1 + random.nextInt(300), from, to, message));
         }
     }
 
-    /** No committed entry is ever replaced, whoever applies it. */
-    void applied(SimulatedVoter voter, LogEntry entry, long before) {
-        assertEquals(before + 1, entry.index(), "entries are applied in order");
+    /** Checks that entries are applied in order and that a committed entry is never replaced. */
+    void applied(SimulatedVoter voter, LogEntry entry, long lastApplied) {
+        assertEquals(lastApplied + 1, entry.index(), "entries are applied in order");
         LogEntry known = committed.putIfAbsent(entry.index(), entry);
         if (known != null) {
-            assertEquals(known.term(), entry.term(), "index " + entry.index() + " has one term, at " + voter.id());
+            assertEquals(known.term(), entry.term(), "index " + entry.index() + " has one term, on " + voter.id());
             assertTrue(Arrays.equals(known.payload(), entry.payload()), "index " + entry.index() + " has one content");
         }
     }
@@ -142,52 +144,52 @@
             if (v.isUp()) {
                 v.tick(now);
             }
-            noteLeader(v);
+            recordLeader(v);
         }
-        assertTrue(leases() <= 1, "one voter at most holds a lease");
+        assertTrue(leaseHolders() <= 1, "at most one voter holds a lease");
         if (random.nextInt(4) == 0) {
             proposeSomewhere();
         }
         if (newcomer != null && random.nextInt(20) == 0) {
-            letNewcomerAsk();
+            sendJoinRequests();
         }
     }
 
-    private long leases() {
+    private long leaseHolders() {
         return voters.values().stream()
                 .filter(v -> v.isUp() && v.replica().holdsLease(now))
                 .count();
     }
 
-    private void letNewcomerAsk() {
+    private void sendJoinRequests() {
         for (SimulatedVoter v : List.copyOf(voters.values())) {
             if (v.isUp()) {
-                v.consider(now, newcomer);
+                v.handleJoinRequest(now, newcomer);
             }
         }
-        List<InstanceId> known = known();
-        if (known != null && known.contains(newcomer) && known.size() == voters.size()) {
+        List<InstanceId> agreed = agreedVoters();
+        if (agreed != null && agreed.contains(newcomer) && agreed.size() == voters.size()) {
             newcomer = null;
         }
     }
 
-    /** An instance goes for good and a blank one comes, or the blank one comes first. */
-    private void replace(SimulatedVoter gone) {
-        List<InstanceId> known = known();
-        if (!replacing || newcomer != null || known == null || !mayLoseDisk(gone)) {
+    /** Replaces an instance permanently by an empty one. */
+    private void replaceInstance(SimulatedVoter lost) {
+        List<InstanceId> agreed = agreedVoters();
+        if (!replaceInstances || newcomer != null || agreed == null || !mayLoseDisk(lost)) {
             return;
         }
-        newcomer = new InstanceId("n" + replaced++);
-        SimulatedVoter v = SimulatedVoter.blank(newcomer, known, this, new Random(random.nextLong()));
-        voters.remove(gone.id());
-        gone.crash();
-        cutOff.clear();
+        newcomer = new InstanceId("n" + replacements++);
+        SimulatedVoter v = SimulatedVoter.blank(newcomer, agreed, this, new Random(random.nextLong()));
+        voters.remove(lost.id());
+        lost.crash();
+        partitioned.clear();
         voters.put(newcomer, v);
         v.start(now);
     }
 
-    /** The voters that all have in common; null while they differ. */
-    private List<InstanceId> known() {
+    /** Returns the voters that all instances agree on; null while they differ. */
+    private List<InstanceId> agreedVoters() {
         List<InstanceId> out = null;
         for (SimulatedVoter v : voters.values()) {
             if (!v.isUp() || (out != null && !out.equals(v.replica().state().voters()))) {
@@ -198,18 +200,18 @@
         return out;
     }
 
-    private void deliver(Flight f) {
+    private void deliver(InFlightMessage f) {
         SimulatedVoter to = voters.get(f.to);
-        if (to != null && to.isUp() && cutOff.contains(f.from) == cutOff.contains(f.to)) {
+        if (to != null && to.isUp() && partitioned.contains(f.from) == partitioned.contains(f.to)) {
             to.receive(now, f.message);
-            noteLeader(to);
+            recordLeader(to);
         }
     }
 
-    private void noteLeader(SimulatedVoter v) {
+    private void recordLeader(SimulatedVoter v) {
         if (v.isUp() && v.replica().state().role() == LogRole.LEADER) {
             InstanceId other = leaders.putIfAbsent(v.replica().state().term(), v.id());
-            assertTrue(other == null || other.equals(v.id()), "term has one leader");
+            assertTrue(other == null || other.equals(v.id()), "a term has one leader");
         }
     }
 
@@ -222,32 +224,32 @@
         }
     }
 
-    private void disturb() {
-        if (timing.startProbeMillis() > 0 && random.nextInt(500) == 0) {
-            loseAllPower();
+    private void injectFault() {
+        if (timing.coldStartProbeMillis() > 0 && random.nextInt(500) == 0) {
+            crashAll();
             return;
         }
-        int dice = random.nextInt(300);
+        int roll = random.nextInt(300);
         SimulatedVoter v = pick();
-        if (dice == 0) {
-            cutOff.clear();
-            cutOff.add(v.id());
-        } else if (dice == 1) {
-            cutOff.clear();
-        } else if (dice == 2 && v.isUp()) {
+        if (roll == 0) {
+            partitioned.clear();
+            partitioned.add(v.id());
+        } else if (roll == 1) {
+            partitioned.clear();
+        } else if (roll == 2 && v.isUp()) {
             v.crash();
-        } else if (dice == 3 && mayLoseDisk(v)) {
+        } else if (roll == 3 && mayLoseDisk(v)) {
             v.crash();
             v.loseDisk();
-        } else if (dice == 4) {
-            replace(v);
-        } else if (dice < 13 && !v.isUp()) {
+        } else if (roll == 4) {
+            replaceInstance(v);
+        } else if (roll < 13 && !v.isUp()) {
             v.start(now);
         }
     }
 
-    /** All are off at the same moment; some come back at once, the others as {@link #disturb()} starts them. */
-    private void loseAllPower() {
+    /** Crashes all voters at once; some restart immediately, the others through {@link #injectFault()}. */
+    private void crashAll() {
         voters.values().forEach(SimulatedVoter::crash);
         for (SimulatedVoter v : voters.values()) {
             if (random.nextInt(4) > 0) {
@@ -256,25 +258,28 @@
         }
     }
 
-    /** Losing a second disk before the first voter is admitted again may rightly stop the fleet, but not this test. */
+    /**
+     * Returns whether a disk may be lost. Losing a second one before the first voter is admitted again may stop the
+     * fleet, which is not a failure.
+     */
     private boolean mayLoseDisk(SimulatedVoter candidate) {
-        int whole = 0;
+        int intact = 0;
         for (SimulatedVoter v : voters.values()) {
             if (v != candidate && v.isUp() && v.replica().state().role() != LogRole.RECOVERING && v.applied() > 0) {
-                whole++;
+                intact++;
             }
         }
-        return newcomer == null && whole == voters.size() - 1;
+        return newcomer == null && intact == voters.size() - 1;
     }
 
     private SimulatedVoter pick() {
         return new ArrayList<>(voters.values()).get(random.nextInt(voters.size()));
     }
 
-    /** Without faults a leader must emerge, every folder be admitted, and all voters agree. */
+    /** Checks that without faults a leader is elected, every data folder is admitted, and all voters agree. */
     private void settle() {
-        calm = true;
-        cutOff.clear();
+        faultFree = true;
+        partitioned.clear();
         for (SimulatedVoter v : voters.values()) {
             if (!v.isUp()) {
                 v.start(now);
@@ -283,7 +288,7 @@
         for (int i = 0; i < SETTLE_STEPS && !isSettled(); i++) {
             step();
         }
-        assertTrue(isSettled(), () -> "the voters settle: " + describe());
+        assertTrue(isSettled(), () -> "the voters converge: " + describe());
         long highest =
                 committed.keySet().stream().mapToLong(Long::longValue).max().orElse(0);
         for (SimulatedVoter v : voters.values()) {
@@ -315,5 +320,5 @@
         return leading == 1;
     }
 
-    private record Flight(long at, InstanceId from, InstanceId to, LogMessage message) {}
+    private record InFlightMessage(long at, InstanceId from, InstanceId to, LogMessage message) {}
 }
--- a/log/src/test/java/org/hallwall/log/LogStoreTest.java
+++ b/log/src/test/java/org/hallwall/log/LogStoreTest.java
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void keepsVotesAndEntries() throws LogStoreException {
+    void restoresVoteAndEntries() throws LogStoreException {
         try (LogStore store = LogStore.open(folder)) {
             store.saveVote(new LogVote(7, new InstanceId("v1")));
             store.saveEntries(List.of(entry(1, 7, "a"), entry(2, 7, "b")));
@@ -80,14 +80,14 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 5, 12, 20})
-    void cutsTornTail(int lost) throws Exception {
+    void truncatesIncompleteRecord(int lostBytes) throws Exception {
         try (LogStore store = LogStore.open(folder)) {
             store.saveEntries(List.of(entry(1, 1, "kept")));
             store.saveEntries(List.of(entry(2, 1, "torn")));
         }
         Path entries = folder.resolve("entries");
         byte[] bytes = Files.readAllBytes(entries);
-        Files.write(entries, Arrays.copyOf(bytes, bytes.length - lost));
+        Files.write(entries, Arrays.copyOf(bytes, bytes.length - lostBytes));
         try (LogStore store = LogStore.open(folder)) {
             assertEquals(List.of("1/1/kept"), texts(store));
             store.saveEntries(List.of(entry(2, 2, "again")));
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void stopsAtDamageBeforeTail() throws Exception {
+    void rejectsCorruptionBeforeValidRecord() throws Exception {
         try (LogStore store = LogStore.open(folder)) {
             store.saveEntries(List.of(entry(1, 1, "damaged")));
             store.saveEntries(List.of(entry(2, 1, "good")));
@@ -114,7 +114,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"vote", "snapshot", "folder"})
-    void stopsAtDamagedFile(String file) throws Exception {
+    void rejectsCorruptFile(String file) throws Exception {
         Path path = folder.resolve(file);
         byte[] bytes = Files.readAllBytes(path);
         bytes[bytes.length - 1] ^= 1;
@@ -127,7 +127,7 @@
         try (LogStore store = LogStore.open(temp.resolve("fresh"))) {
             assertFalse(store.stored().folder().admitted());
         }
-        assertThrows(LogStoreException.class, () -> LogStore.form(folder), "a folder in use is not formed again");
+        assertThrows(LogStoreException.class, () -> LogStore.form(folder), "an initialized folder is rejected");
     }
 
     private static LogEntry entry(long index, long term, String text) {
--- a/log/src/test/java/org/hallwall/log/SimulatedVoter.java
+++ b/log/src/test/java/org/hallwall/log/SimulatedVoter.java
@@ -24,10 +24,13 @@
 
 import org.hallwall.core.id.InstanceId;
 
-/** A voter of the simulation: a replica, a disk that can lose what was not synced, and a list as state machine. */
+/**
+ * A simulated voter: a replica and a disk that keeps completed writes only. The state machine is the index of the last
+ * applied entry.
+ */
 final class SimulatedVoter {
 
-    private static final int COMPACT_AFTER = 25;
+    private static final int SNAPSHOT_THRESHOLD = 25;
 
     private final InstanceId id;
     private final List<InstanceId> voters;
@@ -39,7 +42,7 @@
     private List<LogEntry> entries = new ArrayList<>();
     private LogReplica replica;
     private long applied;
-    private int folders;
+    private int lostDisks;
 
     SimulatedVoter(InstanceId id, List<InstanceId> voters, LogSimulation simulation, Random random) {
         this.id = id;
@@ -49,16 +52,16 @@
         this.folder = new LogFolder(id + "-0", true);
     }
 
-    /** A blank instance at a new address, which knows the voters of that moment. */
+    /** Creates an empty instance at a new address, which has the current voters as its initial ones. */
     static SimulatedVoter blank(InstanceId id, List<InstanceId> voters, LogSimulation simulation, Random random) {
         SimulatedVoter v = new SimulatedVoter(id, voters, simulation, random);
         v.folder = new LogFolder(id + "-0", false);
         return v;
     }
 
-    void consider(long now, InstanceId newcomer) {
-        replica.consider(now, newcomer);
-        perform(now, replica.taken());
+    void handleJoinRequest(long now, InstanceId newcomer) {
+        replica.handleJoinRequest(now, newcomer);
+        perform(now, replica.drainActions());
     }
 
     InstanceId id() {
@@ -92,8 +95,8 @@
     }
 
     void loseDisk() {
-        folders++;
-        folder = new LogFolder(id + "-" + folders, false);
+        lostDisks++;
+        folder = new LogFolder(id + "-" + lostDisks, false);
         vote = new LogVote(0, null);
         snapshot = LogSnapshot.EMPTY;
         entries = new ArrayList<>();
@@ -108,36 +111,36 @@
     }
 
     boolean propose(long now, byte[] command) {
-        boolean taken = replica.propose(now, command).isPresent();
-        perform(now, replica.taken());
-        return taken;
+        boolean accepted = replica.propose(now, command).isPresent();
+        perform(now, replica.drainActions());
+        return accepted;
     }
 
-    /** A crash may come before any action; an action that was not done leaves no trace on the disk. */
+    /** Carries out the actions, with a crash possible before each one; skipped actions do not change the disk. */
     private void perform(long now, List<LogAction> actions) {
         for (LogAction a : actions) {
             if (random.nextInt(LogSimulation.CRASH_ONE_IN) == 0 && simulation.mayCrash()) {
                 crash();
                 return;
             }
-            performOne(now, a);
+            performAction(now, a);
         }
-        if (replica.committedSinceSnapshot() > COMPACT_AFTER) {
+        if (replica.committedSinceSnapshot() > SNAPSHOT_THRESHOLD) {
             snapshot = replica.compact(new byte[0]);
             entries = new ArrayList<>(replica.entriesAfterSnapshot());
         }
     }
 
-    private void performOne(long now, LogAction action) {
+    private void performAction(long now, LogAction action) {
         if (action instanceof LogAction.SaveVote a) {
             vote = a.vote();
         } else if (action instanceof LogAction.SaveFolder a) {
             folder = a.folder();
         } else if (action instanceof LogAction.SaveEntries a) {
             save(a.entries());
-        } else if (action instanceof LogAction.Restore a) {
+        } else if (action instanceof LogAction.InstallSnapshot a) {
             snapshot = a.snapshot();
-            entries = new ArrayList<>(a.kept());
+            entries = new ArrayList<>(a.retained());
             applied = a.snapshot().index();
         } else if (action instanceof LogAction.Apply a) {
             simulation.applied(this, a.entry(), applied);
