--- a/wire/src/main/java/org/hallwall/wire/PeerCodec.java
+++ b/wire/src/main/java/org/hallwall/wire/PeerCodec.java
@@ -33,11 +33,11 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 import reactor.netty.Connection;
 
-/** Turns messages into frames and back. */
+/** Encodes and decodes the frames of the peer protocol. */
 public final class PeerCodec {
 
-    /** The largest frame that is accepted, in bytes. */
-    public static final int MAX_FRAME = 16 * 1024 * 1024;
+    /** The maximum size of a frame in bytes. */
+    public static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
     private static final int LENGTH_BYTES = 4;
 
@@ -47,7 +47,7 @@
     /**
      * Creates the codec.
      *
-     * @param kinds the kinds of message that are understood
+     * @param kinds the supported message types
      */
     public PeerCodec(PeerKinds kinds) {
         this.kinds = kinds;
@@ -57,13 +57,13 @@
 
     ByteBuf encode(PeerFrame frame) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-            packer.packInt(kinds.number(frame.message()));
-            packer.packLong(frame.correlation());
+            packer.packInt(kinds.numberOf(frame.message()));
+            packer.packLong(frame.correlationId());
             packer.packBoolean(frame.reply());
             packer.writePayload(mapper.writeValueAsBytes(frame.message()));
             return Unpooled.wrappedBuffer(packer.toByteArray());
         } catch (IOException e) {
-            throw new IllegalStateException("message cannot be encoded", e);
+            throw new IllegalStateException("cannot encode message", e);
         }
     }
 
@@ -71,21 +71,22 @@
         byte[] raw = ByteBufUtil.getBytes(bytes);
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(raw)) {
             int number = unpacker.unpackInt();
-            long correlation = unpacker.unpackLong();
+            long correlationId = unpacker.unpackLong();
             boolean reply = unpacker.unpackBoolean();
-            Class<? extends PeerMessage> type = kinds.type(number);
+            Class<? extends PeerMessage> type = kinds.typeOf(number);
             if (type == null) {
-                throw new IOException("unknown kind " + number);
+                throw new IOException("unknown message type " + number);
             }
-            int at = (int) unpacker.getTotalReadBytes();
-            return new PeerFrame(correlation, reply, mapper.readValue(raw, at, raw.length - at, type));
+            int bodyOffset = (int) unpacker.getTotalReadBytes();
+            return new PeerFrame(
+                    correlationId, reply, mapper.readValue(raw, bodyOffset, raw.length - bodyOffset, type));
         } catch (RuntimeException e) {
             throw new IOException("malformed frame: " + e, e);
         }
     }
 
     static void addFraming(Connection connection) {
-        connection.addHandlerLast(new LengthFieldBasedFrameDecoder(MAX_FRAME, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
+        connection.addHandlerLast(new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
         connection.addHandlerLast(new LengthFieldPrepender(LENGTH_BYTES));
     }
 }
--- a/wire/src/main/java/org/hallwall/wire/PeerException.java
+++ b/wire/src/main/java/org/hallwall/wire/PeerException.java
@@ -20,7 +20,7 @@
 
 import org.hallwall.core.verdict.Verdict;
 
-/** A call to a peer has no reply; the verdict says whether the peer may have acted on it. */
+/** Thrown when a call to a peer fails. The verdict tells whether the peer may have processed the call. */
 public class PeerException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -30,8 +30,8 @@
     /**
      * Creates the exception.
      *
-     * @param verdict whether the peer may have acted on the call
-     * @param message one sentence
+     * @param verdict whether the peer may have processed the call
+     * @param message the detail message
      */
     public PeerException(Verdict verdict, String message) {
         super(message);
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Says whether the peer may have acted on the call.
+     * Returns whether the peer may have processed the call.
      *
      * @return the verdict
      */
--- a/wire/src/main/java/org/hallwall/wire/PeerFrame.java
+++ b/wire/src/main/java/org/hallwall/wire/PeerFrame.java
@@ -21,8 +21,8 @@
 /**
  * A decoded frame.
  *
- * @param correlation joins a call and its reply; zero for one-way messages
+ * @param correlationId associates a reply with its call; zero for one-way messages
  * @param reply whether the frame is a reply
  * @param message the message
  */
-record PeerFrame(long correlation, boolean reply, PeerMessage message) {}
+record PeerFrame(long correlationId, boolean reply, PeerMessage message) {}
--- a/wire/src/main/java/org/hallwall/wire/PeerHandler.java
+++ b/wire/src/main/java/org/hallwall/wire/PeerHandler.java
@@ -21,7 +21,7 @@
 import org.hallwall.core.id.InstanceId;
 import reactor.core.publisher.Mono;
 
-/** Handles the messages that peers send. */
+/** Handles messages received from peers. */
 @FunctionalInterface
 public interface PeerHandler {
 
--- a/wire/src/main/java/org/hallwall/wire/PeerHello.java
+++ b/wire/src/main/java/org/hallwall/wire/PeerHello.java
@@ -21,10 +21,10 @@
 import org.hallwall.core.id.InstanceId;
 
 /**
- * The first message on a connection.
+ * The handshake, which is the first message on a connection.
  *
- * @param protocol the version of the protocol
- * @param fleet the name of the fleet; a peer of another fleet is refused
+ * @param protocol the protocol version
+ * @param fleet the name of the fleet; peers of other fleets are rejected
  * @param from the sender
  */
 record PeerHello(int protocol, String fleet, InstanceId from) implements PeerMessage {
--- a/wire/src/main/java/org/hallwall/wire/PeerKinds.java
+++ b/wire/src/main/java/org/hallwall/wire/PeerKinds.java
@@ -21,7 +21,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The kinds of message that a process understands, each with its number on the wire. */
+/** The registry of message types and their numbers on the wire. */
 public final class PeerKinds {
 
     static final int HELLO = 1;
@@ -30,36 +30,36 @@
     private final Map<Integer, Class<? extends PeerMessage>> byNumber = new HashMap<>();
     private final Map<Class<? extends PeerMessage>, Integer> byType = new HashMap<>();
 
-    /** Creates the kinds with those of the protocol itself. */
+    /** Creates a registry that contains the message types of the protocol itself. */
     public PeerKinds() {
         add(HELLO, PeerHello.class);
         add(PING, PeerPing.class);
     }
 
     /**
-     * Adds a kind.
+     * Registers a message type.
      *
      * @param number its number on the wire
-     * @param type its type
+     * @param type its class
      * @return this object
-     * @throws IllegalArgumentException if the number or the type is taken
+     * @throws IllegalArgumentException if the number or the class is already registered
      */
     public PeerKinds add(int number, Class<? extends PeerMessage> type) {
         if (byNumber.put(number, type) != null || byType.put(type, number) != null) {
-            throw new IllegalArgumentException("kind " + number + " is taken");
+            throw new IllegalArgumentException("message type " + number + " or its class is already registered");
         }
         return this;
     }
 
-    Class<? extends PeerMessage> type(int number) {
+    Class<? extends PeerMessage> typeOf(int number) {
         return byNumber.get(number);
     }
 
-    int number(PeerMessage message) {
-        Integer n = byType.get(message.getClass());
-        if (n == null) {
-            throw new IllegalArgumentException("no kind for " + message.getClass());
+    int numberOf(PeerMessage message) {
+        Integer number = byType.get(message.getClass());
+        if (number == null) {
+            throw new IllegalArgumentException("unregistered message type " + message.getClass());
         }
-        return n;
+        return number;
     }
 }
--- a/wire/src/main/java/org/hallwall/wire/PeerLink.java
+++ b/wire/src/main/java/org/hallwall/wire/PeerLink.java
@@ -41,25 +41,25 @@
 import reactor.netty.Connection;
 import reactor.netty.tcp.TcpClient;
 
-/** A link to one peer: connects, connects again when it breaks, sends messages and makes calls. */
+/** A client connection to one peer, which is re-established when it is lost. */
 public final class PeerLink implements Closeable {
 
     private static final Logger LOG = Logger.getLogger(PeerLink.class);
-    /** How often a link that is up is probed, and one that is down is tried again, in milliseconds. */
-    private static final long PROBE_MILLIS = 500;
-    /** How often a new link is tried that has not come up yet, in milliseconds: all instances may have just started. */
-    private static final long NEW_PROBE_MILLIS = 120;
-    /** How long a link counts as new, in milliseconds: the times that instances take to start differ by less. */
-    private static final long NEW_MILLIS = 5_000;
+    /** The interval between pings of a connected link and between connection attempts of a disconnected one. */
+    private static final long PROBE_INTERVAL_MILLIS = 500;
+    /** The interval between connection attempts of a new link: all instances may have just started. */
+    private static final long INITIAL_PROBE_INTERVAL_MILLIS = 120;
+    /** How long the initial interval applies; exceeds the difference between the start times of instances. */
+    private static final long INITIAL_PERIOD_MILLIS = 5_000;
 
-    private static final long SILENCE_MILLIS = 2_000;
-    private static final int CONNECT_MILLIS = 1_000;
+    private static final long IDLE_TIMEOUT_MILLIS = 2_000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
     private final NetAddress address;
     private final PeerHello hello;
     private final PeerCodec codec;
-    private final Map<Long, MonoSink<PeerMessage>> calls = new ConcurrentHashMap<>();
-    private final AtomicLong correlations = new AtomicLong();
+    private final Map<Long, MonoSink<PeerMessage>> pendingCalls = new ConcurrentHashMap<>();
+    private final AtomicLong lastCorrelationId = new AtomicLong();
     private final AtomicLong sent = new AtomicLong();
     private final AtomicLong sentBytes = new AtomicLong();
     private final AtomicLong dropped = new AtomicLong();
@@ -67,14 +67,14 @@
     private volatile Connection connection;
     private volatile boolean connecting;
     private volatile boolean closed;
-    private volatile long heardAt;
+    private volatile long lastReceivedAt;
 
     /**
-     * Creates the link and starts to connect.
+     * Creates the link and starts connecting.
      *
      * @param address the address of the peer
      * @param fleet the name of the fleet
-     * @param self this process
+     * @param self the id of this process
      * @param codec the codec
      */
     public PeerLink(NetAddress address, String fleet, InstanceId self, PeerCodec codec) {
@@ -85,7 +85,7 @@
     }
 
     /**
-     * Sends a one-way message; it is dropped when the link is down or its buffer is full.
+     * Sends a one-way message; it is dropped if the link is down or its buffer is full.
      *
      * @param message the message
      * @return false if it was dropped
@@ -95,34 +95,36 @@
     }
 
     /**
-     * Makes a call.
+     * Sends a message and waits for the reply.
      *
      * @param message the message
-     * @param timeout how long to wait for the reply
-     * @return the reply, or a {@link PeerException} whose verdict says whether the call may have been handled
+     * @param timeout the maximum time to wait for the reply
+     * @return the reply; fails with a {@link PeerException} whose verdict tells whether the peer may have processed the
+     *     call
      */
     public Mono<PeerMessage> call(PeerMessage message, Duration timeout) {
         return Mono.defer(() -> {
-            long id = correlations.incrementAndGet();
-            return Mono.<PeerMessage>create(sink -> begin(id, message, sink))
+            long id = lastCorrelationId.incrementAndGet();
+            return Mono.<PeerMessage>create(sink -> startCall(id, message, sink))
                     .timeout(timeout)
                     .onErrorMap(
-                            TimeoutException.class, e -> new PeerException(Verdict.MAY_HAVE_RUN, "no reply in time"))
-                    .doFinally(end -> calls.remove(id));
+                            TimeoutException.class,
+                            e -> new PeerException(Verdict.MAY_HAVE_RUN, "no reply within the timeout"))
+                    .doFinally(end -> pendingCalls.remove(id));
         });
     }
 
     /**
-     * Says whether the link is up.
+     * Returns whether the link is connected.
      *
-     * @return true if the peer was heard lately
+     * @return true if there is a connection to the peer
      */
     public boolean isUp() {
         return connection != null;
     }
 
     /**
-     * Describes the traffic for a dump.
+     * Returns the traffic counters.
      *
      * @return the traffic since the start
      */
@@ -133,32 +135,32 @@
     @Override
     public void close() {
         closed = true;
-        breakOff();
+        closeConnection();
     }
 
-    private void begin(long id, PeerMessage message, MonoSink<PeerMessage> sink) {
-        calls.put(id, sink);
+    private void startCall(long id, PeerMessage message, MonoSink<PeerMessage> sink) {
+        pendingCalls.put(id, sink);
         if (!write(new PeerFrame(id, false, message))) {
-            sink.error(new PeerException(Verdict.NOT_RUN, "no link to " + address));
+            sink.error(new PeerException(Verdict.NOT_RUN, "not connected to " + address));
         }
     }
 
     private boolean write(PeerFrame frame) {
-        Connection c = connection;
-        if (c == null || !c.channel().isWritable()) {
+        Connection current = connection;
+        if (current == null || !current.channel().isWritable()) {
             dropped.incrementAndGet();
             return false;
         }
         ByteBuf bytes = codec.encode(frame);
         sent.incrementAndGet();
         sentBytes.addAndGet(bytes.readableBytes());
-        c.channel().writeAndFlush(bytes);
+        current.channel().writeAndFlush(bytes);
         return true;
     }
 
-    private void probeAfter(long millis) {
-        // not kept to be cancelled: a thread that stands still here would cancel one that was planned meanwhile, and
-        // the link stay down for good
+    private void scheduleProbe(long millis) {
+        // Not cancellable: if this thread is paused here, the next run may already be scheduled by the probe itself,
+        // and cancelling that one would stop all reconnection attempts.
         Schedulers.parallel().schedule(this::probe, millis, TimeUnit.MILLISECONDS);
     }
 
@@ -167,14 +169,17 @@
             return;
         }
         long now = Ticker.SYSTEM.millis();
-        probeAfter(connection == null && now - createdAt < NEW_MILLIS ? NEW_PROBE_MILLIS : PROBE_MILLIS);
+        scheduleProbe(
+                connection == null && now - createdAt < INITIAL_PERIOD_MILLIS
+                        ? INITIAL_PROBE_INTERVAL_MILLIS
+                        : PROBE_INTERVAL_MILLIS);
         if (connection == null) {
             connect();
-        } else if (now - heardAt > SILENCE_MILLIS) {
-            LOG.infof("wire: the link to %s is silent", address);
-            breakOff();
+        } else if (now - lastReceivedAt > IDLE_TIMEOUT_MILLIS) {
+            LOG.infof("wire: closing idle connection to %s", address);
+            closeConnection();
         } else {
-            write(new PeerFrame(correlations.incrementAndGet(), false, new PeerPing(now)));
+            write(new PeerFrame(lastCorrelationId.incrementAndGet(), false, new PeerPing(now)));
         }
     }
 
@@ -186,57 +191,57 @@
         TcpClient.newConnection()
                 .host(address.host())
                 .port(address.port())
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .connect()
-                .subscribe(this::connected, e -> connecting = false);
+                .subscribe(this::handleConnected, e -> connecting = false);
     }
 
-    private void connected(Connection c) {
+    private void handleConnected(Connection c) {
         connecting = false;
         if (closed) {
             c.dispose();
             return;
         }
         PeerCodec.addFraming(c);
-        heardAt = Ticker.SYSTEM.millis();
+        lastReceivedAt = Ticker.SYSTEM.millis();
         Channel channel = c.channel();
-        c.inbound().receive().doOnNext(this::receive).subscribe(b -> {}, e -> c.dispose());
-        c.onDispose(() -> lost(c));
+        c.inbound().receive().doOnNext(this::handleFrame).subscribe(b -> {}, e -> c.dispose());
+        c.onDispose(() -> handleDisconnect(c));
         channel.writeAndFlush(codec.encode(new PeerFrame(0, false, hello)));
         connection = c;
     }
 
-    private void receive(ByteBuf bytes) {
-        heardAt = Ticker.SYSTEM.millis();
+    private void handleFrame(ByteBuf bytes) {
+        lastReceivedAt = Ticker.SYSTEM.millis();
         try {
             PeerFrame frame = codec.decode(bytes);
-            MonoSink<PeerMessage> sink = calls.remove(frame.correlation());
+            MonoSink<PeerMessage> sink = pendingCalls.remove(frame.correlationId());
             if (sink != null) {
                 sink.success(frame.message());
             }
         } catch (IOException e) {
-            LOG.warnf("wire: a reply of %s is malformed, %s", address, e.getMessage());
-            breakOff();
+            LOG.warnf("wire: malformed reply from %s: %s", address, e.getMessage());
+            closeConnection();
         }
     }
 
-    private void breakOff() {
+    private void closeConnection() {
         Connection c = connection;
         if (c != null) {
-            lost(c);
+            handleDisconnect(c);
             c.dispose();
         }
     }
 
-    private void lost(Connection c) {
+    private void handleDisconnect(Connection c) {
         if (connection != c) {
             return;
         }
         connection = null;
-        for (Long id : calls.keySet()) {
-            MonoSink<PeerMessage> sink = calls.remove(id);
+        for (Long id : pendingCalls.keySet()) {
+            MonoSink<PeerMessage> sink = pendingCalls.remove(id);
             if (sink != null) {
-                sink.error(new PeerException(Verdict.MAY_HAVE_RUN, "the link to " + address + " broke"));
+                sink.error(new PeerException(Verdict.MAY_HAVE_RUN, "connection to " + address + " lost"));
             }
         }
     }
--- a/wire/src/main/java/org/hallwall/wire/PeerPing.java
+++ b/wire/src/main/java/org/hallwall/wire/PeerPing.java
@@ -19,8 +19,8 @@
 package org.hallwall.wire;
 
 /**
- * Probes a connection; the peer answers with the same message.
+ * Checks that a connection is alive; the peer echoes the message.
  *
- * @param sentAt the sender's clock in milliseconds
+ * @param sentAt the time of sending by the sender's clock, in milliseconds
  */
 record PeerPing(long sentAt) implements PeerMessage {}
--- a/wire/src/main/java/org/hallwall/wire/PeerServer.java
+++ b/wire/src/main/java/org/hallwall/wire/PeerServer.java
@@ -34,29 +34,29 @@
 import reactor.netty.DisposableServer;
 import reactor.netty.tcp.TcpServer;
 
-/** Accepts connections of peers. */
+/** Accepts connections from peers. */
 public final class PeerServer implements Closeable {
 
     private static final Logger LOG = Logger.getLogger(PeerServer.class);
 
-    /** How long connections may take to close, in milliseconds. */
-    private static final long CLOSE_MILLIS = 500;
+    /** The maximum time to wait for connections to close. */
+    private static final long CLOSE_TIMEOUT_MILLIS = 500;
 
     private final String fleet;
     private final PeerCodec codec;
     private final PeerHandler handler;
-    private final AtomicLong refused = new AtomicLong();
+    private final AtomicLong rejected = new AtomicLong();
     private final AtomicLong received = new AtomicLong();
     private final AtomicLong receivedBytes = new AtomicLong();
     private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private DisposableServer server;
 
     /**
-     * Creates a server; {@link #open} opens its port.
+     * Creates a server; {@link #open} binds its port.
      *
      * @param fleet the name of the fleet
      * @param codec the codec
-     * @param handler handles the messages
+     * @param handler handles received messages
      */
     public PeerServer(String fleet, PeerCodec codec, PeerHandler handler) {
         this.fleet = fleet;
@@ -65,10 +65,10 @@
     }
 
     /**
-     * Opens the port.
+     * Binds the port.
      *
-     * @param address where to listen
-     * @throws IOException if the port cannot be opened
+     * @param address the address to listen on
+     * @throws IOException if the port cannot be bound
      */
     public void open(NetAddress address) throws IOException {
         try {
@@ -79,12 +79,12 @@
                     .doOnConnection(this::accept)
                     .bindNow();
         } catch (RuntimeException e) {
-            throw new IOException("peer port " + address + " cannot be opened", e);
+            throw new IOException("cannot bind peer port " + address, e);
         }
     }
 
     /**
-     * Gives the port that is open.
+     * Returns the port that the server listens on.
      *
      * @return the port
      */
@@ -93,19 +93,19 @@
     }
 
     /**
-     * Describes the traffic for a dump.
+     * Returns the traffic counters.
      *
      * @return the traffic since the start
      */
     public PeerTraffic traffic() {
-        return new PeerTraffic(received.get(), receivedBytes.get(), refused.get());
+        return new PeerTraffic(received.get(), receivedBytes.get(), rejected.get());
     }
 
     @Override
     public void close() {
         if (server != null) {
-            server.channel().close().awaitUninterruptibly(CLOSE_MILLIS);
-            connections.close().awaitUninterruptibly(CLOSE_MILLIS);
+            server.channel().close().awaitUninterruptibly(CLOSE_TIMEOUT_MILLIS);
+            connections.close().awaitUninterruptibly(CLOSE_TIMEOUT_MILLIS);
             server.disposeNow();
         }
     }
@@ -116,12 +116,12 @@
         connection
                 .inbound()
                 .receive()
-                .doOnNext(session::receive)
+                .doOnNext(session::handleFrame)
                 .doFinally(end -> connection.dispose())
-                .subscribe(b -> {}, session::fail);
+                .subscribe(b -> {}, session::handleError);
     }
 
-    /** One connection; its sender is known after the hello. */
+    /** A connection; its peer is known after the handshake. */
     private final class Session {
 
         private final Channel channel;
@@ -131,49 +131,49 @@
             this.channel = channel;
         }
 
-        void receive(ByteBuf bytes) {
+        void handleFrame(ByteBuf bytes) {
             received.incrementAndGet();
             receivedBytes.addAndGet(bytes.readableBytes());
             try {
-                take(codec.decode(bytes));
+                dispatch(codec.decode(bytes));
             } catch (IOException e) {
-                refused.incrementAndGet();
-                LOG.warnf("wire: closed a connection, %s", e.getMessage());
+                rejected.incrementAndGet();
+                LOG.warnf("wire: closed a connection: %s", e.getMessage());
                 channel.close();
             }
         }
 
-        /** A frame over the limit ends up here: its bytes cannot be told from those after it. */
-        void fail(Throwable e) {
-            refused.incrementAndGet();
-            LOG.warnf("wire: closed a connection, %s", e.getMessage());
+        /** Handles errors of the inbound stream, such as a frame above the size limit. */
+        void handleError(Throwable e) {
+            rejected.incrementAndGet();
+            LOG.warnf("wire: closed a connection: %s", e.getMessage());
         }
 
-        private void take(PeerFrame frame) throws IOException {
+        private void dispatch(PeerFrame frame) throws IOException {
             PeerMessage message = frame.message();
             if (message instanceof PeerHello hello) {
-                greet(hello);
+                handleHello(hello);
             } else if (peer == null) {
-                throw new IOException("no hello before the first message");
+                throw new IOException("the first message is not a handshake");
             } else if (message instanceof PeerPing) {
-                write(new PeerFrame(frame.correlation(), true, message));
+                write(new PeerFrame(frame.correlationId(), true, message));
             } else {
                 handler.handle(peer, message)
                         .subscribe(
-                                reply -> write(new PeerFrame(frame.correlation(), true, reply)),
-                                e -> LOG.warnf("wire: a message of %s failed, %s", peer, e));
+                                reply -> write(new PeerFrame(frame.correlationId(), true, reply)),
+                                e -> LOG.warnf("wire: handling a message from %s failed: %s", peer, e));
             }
         }
 
-        private void greet(PeerHello hello) throws IOException {
+        private void handleHello(PeerHello hello) throws IOException {
             if (hello.protocol() != PeerHello.PROTOCOL || !fleet.equals(hello.fleet())) {
-                throw new IOException("hello of another protocol or fleet");
+                throw new IOException("handshake for another protocol version or fleet");
             }
             peer = hello.from();
         }
 
         private void write(PeerFrame frame) {
-            if (frame.correlation() != 0 && channel.isActive()) {
+            if (frame.correlationId() != 0 && channel.isActive()) {
                 channel.writeAndFlush(codec.encode(frame));
             }
         }
--- a/wire/src/main/java/org/hallwall/wire/PeerTraffic.java
+++ b/wire/src/main/java/org/hallwall/wire/PeerTraffic.java
@@ -19,10 +19,10 @@
 package org.hallwall.wire;
 
 /**
- * Traffic counts of a peer port or link.
+ * Traffic counters of a peer port or link.
  *
- * @param messages how many messages
- * @param bytes how many bytes, without the length fields
- * @param refused how many messages were refused or dropped
+ * @param messages the number of messages
+ * @param bytes the number of bytes without length fields
+ * @param refused the number of rejected or dropped messages
  */
 public record PeerTraffic(long messages, long bytes, long refused) {}
--- a/wire/src/main/java/org/hallwall/wire/package-info.java
+++ b/wire/src/main/java/org/hallwall/wire/package-info.java
@@ -17,9 +17,9 @@
  * under the License.
  */
 /**
- * The protocol between the project's own processes: TCP frames with MessagePack bodies.
+ * The peer protocol: TCP connections with length-prefixed MessagePack frames.
  *
- * <p>A frame is a four-byte length followed by a kind (integer), a correlation number (integer, zero for one-way
+ * <p>A frame is a four-byte length followed by the message type (integer), a correlation id (integer, zero for one-way
  * messages), a flag that marks replies, and the body, all in MessagePack.
  */
 package org.hallwall.wire;
--- a/wire/src/test/java/org/hallwall/wire/PeerLinkTest.java
+++ b/wire/src/test/java/org/hallwall/wire/PeerLinkTest.java
@@ -37,11 +37,11 @@
 import reactor.core.scheduler.Scheduler;
 import reactor.core.scheduler.Schedulers;
 
-/** A link comes up when its peer begins to listen, however long that takes. */
+/** Verifies that a link connects as soon as its peer listens, and reconnects after a failure. */
 class PeerLinkTest {
 
     private static final int LINKS = 400;
-    private static final Duration WITHIN = Duration.ofSeconds(20);
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
     private final PeerCodec codec = new PeerCodec(new PeerKinds());
     private final List<PeerLink> links = new ArrayList<>();
@@ -59,54 +59,54 @@
         server.close();
     }
 
-    /** The first attempt of a link may begin, and plan the next one, before the link's constructor has ended. */
+    /** The first attempt may run, and schedule the next one, before the constructor of the link returns. */
     @Test
-    void linksThatWereMadeBeforeTheirPeerListensComeUp() throws IOException {
+    void linksConnectOnceThePeerListens() throws IOException {
         NetAddress address = listen(0);
         server.close();
         for (int n = 0; n < LINKS; n++) {
             links.add(new PeerLink(address, "test", new InstanceId("i-" + n), codec));
         }
         listen(address.port());
-        Awaitility.await().atMost(WITHIN).until(() -> links.stream().allMatch(PeerLink::isUp));
+        Awaitility.await().atMost(TIMEOUT).until(() -> links.stream().allMatch(PeerLink::isUp));
     }
 
     /**
-     * The process stands still right after it has planned an attempt, for longer than until that attempt: it runs on another thread, and plans the
-     * next one. Seen where an entry that had stood still for 3.5 s at its start never tried one of its links again, and a whole fleet lacked the
-     * targets that only this entry heard.
+     * Guards against a pause of the scheduling thread that outlasts the scheduled attempt: the attempt schedules the
+     * next one on another thread, and the link must keep reconnecting.
      */
     @Test
-    void aLinkThatStandsStillWhileItPlansGoesOnTrying() throws IOException {
+    void pauseWhileSchedulingDoesNotStopProbes() throws IOException {
         NetAddress address = listen(0);
         server.close();
-        AtomicInteger planned = new AtomicInteger();
-        CountDownLatch later = new CountDownLatch(1);
+        AtomicInteger scheduled = new AtomicInteger();
+        CountDownLatch firstDelayedDone = new CountDownLatch(1);
         Schedulers.setFactory(new Schedulers.Factory() {
             @Override
             public Scheduler newParallel(int parallelism, ThreadFactory threads) {
-                return new StandingScheduler(
-                        Schedulers.Factory.super.newParallel(parallelism, threads), planned, later);
+                return new PausingScheduler(
+                        Schedulers.Factory.super.newParallel(parallelism, threads), scheduled, firstDelayedDone);
             }
         });
         try {
             PeerLink link = new PeerLink(address, "test", new InstanceId("i-1"), codec);
             links.add(link);
-            Awaitility.await().atMost(WITHIN).until(() -> later.getCount() == 0);
+            Awaitility.await().atMost(TIMEOUT).until(() -> firstDelayedDone.getCount() == 0);
             listen(address.port());
-            Awaitility.await().atMost(WITHIN).until(link::isUp);
-            // up by the attempt that stood still, if no other is planned any more
+            Awaitility.await().atMost(TIMEOUT).until(link::isUp);
+            // The link may be connected by the paused attempt alone, so check that it reconnects as well.
             server.close();
-            Awaitility.await().atMost(WITHIN).until(() -> !link.isUp());
+            Awaitility.await().atMost(TIMEOUT).until(() -> !link.isUp());
             listen(address.port());
-            Awaitility.await().atMost(WITHIN).until(link::isUp);
+            Awaitility.await().atMost(TIMEOUT).until(link::isUp);
         } finally {
             Schedulers.resetFactory();
         }
     }
 
-    /** Stands still after the first attempt that is planned for later, until that one has run and planned another. */
-    private record StandingScheduler(Scheduler real, AtomicInteger planned, CountDownLatch later) implements Scheduler {
+    /** Blocks the thread that schedules the first delayed attempt until that attempt has run and scheduled another. */
+    private record PausingScheduler(Scheduler real, AtomicInteger scheduled, CountDownLatch firstDelayedDone)
+            implements Scheduler {
 
         @Override
         public Disposable schedule(Runnable task) {
@@ -115,17 +115,17 @@
 
         @Override
         public Disposable schedule(Runnable task, long delay, TimeUnit unit) {
-            int number = planned.incrementAndGet();
+            int count = scheduled.incrementAndGet();
             Disposable out = real.schedule(
                     () -> {
                         task.run();
-                        later.countDown();
+                        firstDelayedDone.countDown();
                     },
                     delay,
                     unit);
-            if (number == 1) {
-                // the planned attempt has run whole, with the next one planned and kept
-                Awaitility.await().atMost(WITHIN).until(() -> later.getCount() == 0);
+            if (count == 1) {
+                // The scheduled attempt has completed and scheduled the next one.
+                Awaitility.await().atMost(TIMEOUT).until(() -> firstDelayedDone.getCount() == 0);
             }
             return out;
         }
@@ -142,14 +142,14 @@
     }
 
     @Test
-    void aLinkComesUpAgainWhenItsPeerIsBack() throws IOException {
+    void linkReconnectsAfterPeerRestart() throws IOException {
         NetAddress address = listen(0);
         PeerLink link = new PeerLink(address, "test", new InstanceId("i-1"), codec);
         links.add(link);
-        Awaitility.await().atMost(WITHIN).until(link::isUp);
+        Awaitility.await().atMost(TIMEOUT).until(link::isUp);
         server.close();
-        Awaitility.await().atMost(WITHIN).until(() -> !link.isUp());
+        Awaitility.await().atMost(TIMEOUT).until(() -> !link.isUp());
         listen(address.port());
-        Awaitility.await().atMost(WITHIN).until(link::isUp);
+        Awaitility.await().atMost(TIMEOUT).until(link::isUp);
     }
 }
