--- a/core/src/main/java/org/hallwall/core/duty/DutyState.java
+++ b/core/src/main/java/org/hallwall/core/duty/DutyState.java
@@ -19,11 +19,11 @@
 package org.hallwall.core.duty;
 
 /**
- * The state of a duty's ring.
+ * The state of an event loop's task queue.
  *
- * @param name the name of the duty
- * @param waiting how much work waits
- * @param capacity how much work the ring holds
- * @param refused how much work was refused since the start
+ * @param name the name of the event loop
+ * @param waiting the number of queued tasks
+ * @param capacity the capacity of the queue
+ * @param refused the number of rejected tasks since the start
  */
 public record DutyState(String name, int waiting, int capacity, long refused) {}
--- a/core/src/main/java/org/hallwall/core/duty/DutyThread.java
+++ b/core/src/main/java/org/hallwall/core/duty/DutyThread.java
@@ -26,33 +26,36 @@
 import org.jboss.logging.Logger;
 import org.jctools.queues.MpscArrayQueue;
 
-/** One thread that owns the state of one duty; others hand it work through a bounded ring. */
+/**
+ * An event loop: a single thread that runs queued tasks and a periodic task, and thereby confines its state to one
+ * thread.
+ */
 public final class DutyThread implements Closeable {
 
     private static final Logger LOG = Logger.getLogger(DutyThread.class);
-    private static final long JOIN_MILLIS = 5_000;
+    private static final long JOIN_TIMEOUT_MILLIS = 5_000;
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final String name;
-    private final MpscArrayQueue<Runnable> ring;
+    private final MpscArrayQueue<Runnable> queue;
     private final long tickNanos;
     private final Runnable tick;
     private final Thread thread;
     private final AtomicBoolean parked = new AtomicBoolean();
-    private final AtomicLong refused = new AtomicLong();
+    private final AtomicLong rejected = new AtomicLong();
     private volatile boolean stopping;
 
     /**
-     * Creates a duty; {@link #start()} starts it.
+     * Creates an event loop; {@link #start()} starts it.
      *
      * @param name the name of the thread
-     * @param capacity how much work the ring holds
-     * @param tickMillis how often the tick runs
-     * @param tick the periodic work
+     * @param capacity the capacity of the task queue
+     * @param tickMillis the interval of the periodic task
+     * @param tick the periodic task
      */
     public DutyThread(String name, int capacity, long tickMillis, Runnable tick) {
         this.name = name;
-        this.ring = new MpscArrayQueue<>(capacity);
+        this.queue = new MpscArrayQueue<>(capacity);
         this.tickNanos = tickMillis * NANOS_PER_MILLI;
         this.tick = tick;
         this.thread = new Thread(this::run, name);
@@ -65,14 +68,14 @@
     }
 
     /**
-     * Hands work to the duty; never blocks.
+     * Enqueues a task without blocking.
      *
-     * @param work the work
-     * @return false if the ring is full or the duty is stopping; the work will not run
+     * @param task the task
+     * @return false if the queue is full or the event loop is stopping; the task will not run
      */
-    public boolean offer(Runnable work) {
-        if (stopping || !ring.offer(work)) {
-            refused.incrementAndGet();
+    public boolean offer(Runnable task) {
+        if (stopping || !queue.offer(task)) {
+            rejected.incrementAndGet();
             return false;
         }
         if (parked.get()) {
@@ -82,12 +85,12 @@
     }
 
     /**
-     * Describes the ring for a dump.
+     * Returns the state of the task queue.
      *
      * @return the state
      */
     public DutyState state() {
-        return new DutyState(name, ring.size(), ring.capacity(), refused.get());
+        return new DutyState(name, queue.size(), queue.capacity(), rejected.get());
     }
 
     @Override
@@ -98,7 +101,7 @@
             return;
         }
         try {
-            thread.join(JOIN_MILLIS);
+            thread.join(JOIN_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -110,7 +113,7 @@
             drain();
             long now = System.nanoTime();
             if (now - nextTick >= 0) {
-                guard(tick);
+                runSafely(tick);
                 nextTick = now + tickNanos;
             } else {
                 park(nextTick - now);
@@ -120,29 +123,29 @@
     }
 
     private void drain() {
-        int most = ring.capacity();
-        for (int i = 0; i < most; i++) {
-            Runnable work = ring.poll();
-            if (work == null) {
+        int maxTasks = queue.capacity();
+        for (int i = 0; i < maxTasks; i++) {
+            Runnable task = queue.poll();
+            if (task == null) {
                 return;
             }
-            guard(work);
+            runSafely(task);
         }
     }
 
     private void park(long nanos) {
         parked.set(true);
-        if (ring.isEmpty() && !stopping) {
+        if (queue.isEmpty() && !stopping) {
             LockSupport.parkNanos(this, nanos);
         }
         parked.set(false);
     }
 
-    private void guard(Runnable work) {
+    private void runSafely(Runnable task) {
         try {
-            work.run();
+            task.run();
         } catch (RuntimeException e) {
-            LOG.errorf(e, "duty: work failed on %s", name);
+            LOG.errorf(e, "duty: task failed on thread %s", name);
         }
     }
 }
--- a/core/src/main/java/org/hallwall/core/duty/package-info.java
+++ b/core/src/main/java/org/hallwall/core/duty/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** A thread for each duty, fed by a bounded ring. */
+/** Event loop threads with bounded task queues. */
 package org.hallwall.core.duty;
--- a/core/src/main/java/org/hallwall/core/id/AttemptId.java
+++ b/core/src/main/java/org/hallwall/core/id/AttemptId.java
@@ -22,20 +22,20 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names one attempt to run a request on a target; the target echoes it in each frame.
+ * Identifies one attempt to run a request on a target; the target echoes it in every frame.
  *
- * @param value the text of the id
+ * @param value the id as text
  */
 public record AttemptId(@JsonValue String value) implements Comparable<AttemptId> {
 
     /**
-     * Checks the text.
+     * Validates the id.
      *
-     * @throws IllegalArgumentException if the text is not a valid id
+     * @throws IllegalArgumentException if the id is malformed
      */
     @JsonCreator
     public AttemptId {
-        IdText.check(value, "AttemptId");
+        IdFormat.check(value, "AttemptId");
     }
 
     @Override
--- a/core/src/main/java/org/hallwall/core/id/FabricDomainId.java
+++ b/core/src/main/java/org/hallwall/core/id/FabricDomainId.java
@@ -22,20 +22,20 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names one fabric domain: the instances that share a fast fabric.
+ * Identifies a fabric domain: the instances that share a high-speed fabric.
  *
- * @param value the text of the id
+ * @param value the id as text
  */
 public record FabricDomainId(@JsonValue String value) implements Comparable<FabricDomainId> {
 
     /**
-     * Checks the text.
+     * Validates the id.
      *
-     * @throws IllegalArgumentException if the text is not a valid id
+     * @throws IllegalArgumentException if the id is malformed
      */
     @JsonCreator
     public FabricDomainId {
-        IdText.check(value, "FabricDomainId");
+        IdFormat.check(value, "FabricDomainId");
     }
 
     @Override
--- a/core/src/main/java/org/hallwall/core/id/FailureDomainId.java
+++ b/core/src/main/java/org/hallwall/core/id/FailureDomainId.java
@@ -22,20 +22,20 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names one failure domain.
+ * Identifies a failure domain.
  *
- * @param value the text of the id
+ * @param value the id as text
  */
 public record FailureDomainId(@JsonValue String value) implements Comparable<FailureDomainId> {
 
     /**
-     * Checks the text.
+     * Validates the id.
      *
-     * @throws IllegalArgumentException if the text is not a valid id
+     * @throws IllegalArgumentException if the id is malformed
      */
     @JsonCreator
     public FailureDomainId {
-        IdText.check(value, "FailureDomainId");
+        IdFormat.check(value, "FailureDomainId");
     }
 
     @Override
--- a/core/src/main/java/org/hallwall/core/id/FencingNumber.java
+++ b/core/src/main/java/org/hallwall/core/id/FencingNumber.java
@@ -22,41 +22,42 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Orders the orders of successive controllers: a lease term in the high bits, a counter in the low bits.
+ * A fencing token that orders the commands of successive controllers: the lease term in the high bits, a counter in the
+ * low bits.
  *
- * @param value the number; zero means that none is held
+ * @param value the token; zero if there is none
  */
 public record FencingNumber(@JsonValue long value) implements Comparable<FencingNumber> {
 
-    /** The number of a target that has taken no order yet. */
+    /** The token of a target that has not accepted a command yet. */
     public static final FencingNumber NONE = new FencingNumber(0);
 
     private static final int COUNTER_BITS = 24;
 
     /**
-     * Checks the number.
+     * Validates the token.
      *
-     * @throws IllegalArgumentException if the number is negative
+     * @throws IllegalArgumentException if the value is negative
      */
     @JsonCreator
     public FencingNumber {
         if (value < 0) {
-            throw new IllegalArgumentException("fencing number must not be negative");
+            throw new IllegalArgumentException("fencing token must not be negative");
         }
     }
 
     /**
-     * Gives the lowest number of a lease term.
+     * Returns the lowest token of a lease term.
      *
      * @param term the lease term
-     * @return the lowest number of the term
+     * @return the lowest token of the term
      */
     public static FencingNumber firstOf(long term) {
         return new FencingNumber(term << COUNTER_BITS);
     }
 
     /**
-     * Gives the lease term held in the high bits.
+     * Returns the lease term of the token.
      *
      * @return the term
      */
@@ -65,18 +66,18 @@
     }
 
     /**
-     * Gives the next number.
+     * Returns the next token.
      *
-     * @return the number one higher
+     * @return the token that is one higher
      */
     public FencingNumber next() {
         return new FencingNumber(value + 1);
     }
 
     /**
-     * Gives the higher of two numbers.
+     * Returns the higher of two tokens.
      *
-     * @param other the other number
+     * @param other the other token
      * @return the higher one
      */
     public FencingNumber max(FencingNumber other) {
--- a/core/src/main/java/org/hallwall/core/id/GroupId.java
+++ b/core/src/main/java/org/hallwall/core/id/GroupId.java
@@ -22,20 +22,20 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names one group of targets; never used again after the group is dissolved.
+ * Identifies a group of targets. Ids are not reused after a group is dissolved.
  *
- * @param value the text of the id
+ * @param value the id as text
  */
 public record GroupId(@JsonValue String value) implements Comparable<GroupId> {
 
     /**
-     * Checks the text.
+     * Validates the id.
      *
-     * @throws IllegalArgumentException if the text is not a valid id
+     * @throws IllegalArgumentException if the id is malformed
      */
     @JsonCreator
     public GroupId {
-        IdText.check(value, "GroupId");
+        IdFormat.check(value, "GroupId");
     }
 
     @Override
--- a/core/src/main/java/org/hallwall/core/id/IdText.java
+++ b/core/src/main/java/org/hallwall/core/id/IdFormat.java
@@ -20,12 +20,12 @@
 
 import java.util.regex.Pattern;
 
-/** Checks the text of ids. */
-final class IdText {
+/** Validates the format of ids. */
+final class IdFormat {
 
     private static final Pattern ALLOWED = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._:/-]{0,127}");
 
-    private IdText() {}
+    private IdFormat() {}
 
     static void check(String value, String kind) {
         if (value == null || !ALLOWED.matcher(value).matches()) {
--- a/core/src/main/java/org/hallwall/core/id/InstanceId.java
+++ b/core/src/main/java/org/hallwall/core/id/InstanceId.java
@@ -22,20 +22,20 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names one instance: an entry, a voter or a target.
+ * Identifies an instance: an entry, a voter or a target.
  *
- * @param value the text of the id
+ * @param value the id as text
  */
 public record InstanceId(@JsonValue String value) implements Comparable<InstanceId> {
 
     /**
-     * Checks the text.
+     * Validates the id.
      *
-     * @throws IllegalArgumentException if the text is not a valid id
+     * @throws IllegalArgumentException if the id is malformed
      */
     @JsonCreator
     public InstanceId {
-        IdText.check(value, "InstanceId");
+        IdFormat.check(value, "InstanceId");
     }
 
     @Override
--- a/core/src/main/java/org/hallwall/core/id/ModelGroupId.java
+++ b/core/src/main/java/org/hallwall/core/id/ModelGroupId.java
@@ -22,20 +22,20 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names one declared model group.
+ * Identifies a declared model group.
  *
- * @param value the text of the id
+ * @param value the id as text
  */
 public record ModelGroupId(@JsonValue String value) implements Comparable<ModelGroupId> {
 
     /**
-     * Checks the text.
+     * Validates the id.
      *
-     * @throws IllegalArgumentException if the text is not a valid id
+     * @throws IllegalArgumentException if the id is malformed
      */
     @JsonCreator
     public ModelGroupId {
-        IdText.check(value, "ModelGroupId");
+        IdFormat.check(value, "ModelGroupId");
     }
 
     @Override
--- a/core/src/main/java/org/hallwall/core/id/RequestId.java
+++ b/core/src/main/java/org/hallwall/core/id/RequestId.java
@@ -22,20 +22,20 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names one request of a caller.
+ * Identifies a caller's request.
  *
- * @param value the text of the id
+ * @param value the id as text
  */
 public record RequestId(@JsonValue String value) implements Comparable<RequestId> {
 
     /**
-     * Checks the text.
+     * Validates the id.
      *
-     * @throws IllegalArgumentException if the text is not a valid id
+     * @throws IllegalArgumentException if the id is malformed
      */
     @JsonCreator
     public RequestId {
-        IdText.check(value, "RequestId");
+        IdFormat.check(value, "RequestId");
     }
 
     @Override
--- a/core/src/main/java/org/hallwall/core/id/ServiceId.java
+++ b/core/src/main/java/org/hallwall/core/id/ServiceId.java
@@ -22,20 +22,20 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names one declared plain service.
+ * Identifies a declared plain service.
  *
- * @param value the text of the id
+ * @param value the id as text
  */
 public record ServiceId(@JsonValue String value) implements Comparable<ServiceId> {
 
     /**
-     * Checks the text.
+     * Validates the id.
      *
-     * @throws IllegalArgumentException if the text is not a valid id
+     * @throws IllegalArgumentException if the id is malformed
      */
     @JsonCreator
     public ServiceId {
-        IdText.check(value, "ServiceId");
+        IdFormat.check(value, "ServiceId");
     }
 
     @Override
--- a/core/src/main/java/org/hallwall/core/id/WorkspaceId.java
+++ b/core/src/main/java/org/hallwall/core/id/WorkspaceId.java
@@ -22,20 +22,20 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names one workspace.
+ * Identifies a workspace.
  *
- * @param value the text of the id
+ * @param value the id as text
  */
 public record WorkspaceId(@JsonValue String value) implements Comparable<WorkspaceId> {
 
     /**
-     * Checks the text.
+     * Validates the id.
      *
-     * @throws IllegalArgumentException if the text is not a valid id
+     * @throws IllegalArgumentException if the id is malformed
      */
     @JsonCreator
     public WorkspaceId {
-        IdText.check(value, "WorkspaceId");
+        IdFormat.check(value, "WorkspaceId");
     }
 
     @Override
--- a/core/src/main/java/org/hallwall/core/id/package-info.java
+++ b/core/src/main/java/org/hallwall/core/id/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** Value types for identifiers. */
+/** Value types for identifiers and fencing tokens. */
 package org.hallwall.core.id;
--- a/core/src/main/java/org/hallwall/core/settings/Json.java
+++ b/core/src/main/java/org/hallwall/core/settings/Json.java
@@ -26,10 +26,10 @@
 import com.fasterxml.jackson.databind.SerializationFeature;
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
-/** The JSON mappers of the project. */
+/** The shared JSON mappers. */
 public final class Json {
 
-    /** Reads and writes messages; unknown members are ignored so that versions can be mixed. */
+    /** Reads and writes messages. Unknown properties are ignored for compatibility between versions. */
     public static final ObjectMapper MAPPER = JsonMapper.builder()
             .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
             .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
@@ -37,7 +37,7 @@
                     JsonInclude.Value.construct(JsonInclude.Include.NON_NULL, JsonInclude.Include.NON_NULL))
             .build();
 
-    /** Reads settings: comments and trailing commas are allowed. */
+    /** Reads settings files, with comments and trailing commas allowed. */
     public static final ObjectMapper COMMENTED = JsonMapper.builder()
             .enable(JsonReadFeature.ALLOW_JAVA_COMMENTS)
             .enable(JsonReadFeature.ALLOW_TRAILING_COMMA)
@@ -45,7 +45,7 @@
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .build();
 
-    /** Writes JSON for people: indented, members in order. */
+    /** Writes indented JSON with map entries sorted by key. */
     public static final ObjectMapper PRETTY =
             MAPPER.copy().enable(SerializationFeature.INDENT_OUTPUT, SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS);
 
--- a/core/src/main/java/org/hallwall/core/settings/KeyHash.java
+++ b/core/src/main/java/org/hallwall/core/settings/KeyHash.java
@@ -20,7 +20,7 @@
 
 import org.apache.commons.codec.digest.DigestUtils;
 
-/** Hashes keys, so that settings and declarations never hold a key itself. */
+/** Hashes secret keys, so that settings and declarations need not contain them. */
 public final class KeyHash {
 
     private KeyHash() {}
@@ -29,7 +29,7 @@
      * Hashes a key.
      *
      * @param key the key
-     * @return its SHA-256 in lower-case hexadecimal
+     * @return its SHA-256 hash in lower-case hexadecimal
      */
     public static String of(String key) {
         return DigestUtils.sha256Hex(key);
--- a/core/src/main/java/org/hallwall/core/settings/NetAddress.java
+++ b/core/src/main/java/org/hallwall/core/settings/NetAddress.java
@@ -22,9 +22,9 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * An IP number and a port.
+ * An IP address and a port.
  *
- * @param host the IP number
+ * @param host the IP address
  * @param port the port; zero lets the system choose one
  */
 public record NetAddress(String host, int port) {
@@ -32,7 +32,7 @@
     private static final int MAX_PORT = 65_535;
 
     /**
-     * Checks the address.
+     * Validates the address.
      *
      * @throws IllegalArgumentException if the host is empty or the port is out of range
      */
@@ -43,11 +43,11 @@
     }
 
     /**
-     * Parses the form {@code HOST:PORT}.
+     * Parses an address of the form {@code HOST:PORT}.
      *
      * @param text the text
      * @return the address
-     * @throws IllegalArgumentException if the text has another form
+     * @throws IllegalArgumentException if the text does not have this form
      */
     @JsonCreator
     public static NetAddress parse(String text) {
--- a/core/src/main/java/org/hallwall/core/settings/SettingsException.java
+++ b/core/src/main/java/org/hallwall/core/settings/SettingsException.java
@@ -20,7 +20,7 @@
 
 import java.util.List;
 
-/** A settings file cannot be used; nothing has been started. */
+/** Thrown when a settings file is invalid or cannot be read. */
 public class SettingsException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -31,23 +31,23 @@
      * Creates the exception.
      *
      * @param file the name of the file
-     * @param faults all faults found
+     * @param faults all errors found
      */
     public SettingsException(String file, List<SettingsFault> faults) {
-        super(text(file, faults));
+        super(formatMessage(file, faults));
         this.faults = List.copyOf(faults);
     }
 
     /**
-     * Gives all faults found.
+     * Returns all errors found.
      *
-     * @return the faults
+     * @return the errors
      */
     public List<SettingsFault> faults() {
         return faults;
     }
 
-    private static String text(String file, List<SettingsFault> faults) {
+    private static String formatMessage(String file, List<SettingsFault> faults) {
         StringBuilder out = new StringBuilder(file);
         out.append(": ").append(faults.size()).append(" fault(s)");
         for (SettingsFault f : faults) {
--- a/core/src/main/java/org/hallwall/core/settings/SettingsFault.java
+++ b/core/src/main/java/org/hallwall/core/settings/SettingsFault.java
@@ -19,11 +19,11 @@
 package org.hallwall.core.settings;
 
 /**
- * One fault in a settings file or a declaration.
+ * A validation error in a settings file or a declaration.
  *
- * @param path where the fault is, as a JSON pointer
+ * @param path the location of the error, as a JSON pointer
  * @param found the value found
- * @param allowed what is allowed there
+ * @param allowed the values allowed there
  */
 public record SettingsFault(String path, String found, String allowed) {
 
--- a/core/src/main/java/org/hallwall/core/settings/SettingsReader.java
+++ b/core/src/main/java/org/hallwall/core/settings/SettingsReader.java
@@ -26,20 +26,20 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Reads settings files: JSON with comments, checked whole before use. */
+/** Reads settings files in JSON with comments, and validates them before use. */
 public final class SettingsReader {
 
     private SettingsReader() {}
 
     /**
-     * Reads and checks a settings file.
+     * Reads and validates a settings file.
      *
      * @param file the file
-     * @param schema the schema that it must meet
-     * @param type the type to read
-     * @param <T> the type to read
+     * @param schema the schema of the file
+     * @param type the class of the settings
+     * @param <T> the type of the settings
      * @return the settings
-     * @throws SettingsException if the file cannot be read or has any fault; nothing may start
+     * @throws SettingsException if the file cannot be read or is invalid
      */
     public static <T> T read(Path file, SettingsSchema schema, Class<T> type) throws SettingsException {
         String name = file.getFileName().toString();
@@ -51,7 +51,8 @@
         try {
             return Json.MAPPER.treeToValue(document, type);
         } catch (JsonProcessingException e) {
-            throw new SettingsException(name, List.of(new SettingsFault("/", "a bad value", e.getOriginalMessage())));
+            throw new SettingsException(
+                    name, List.of(new SettingsFault("/", "an invalid value", e.getOriginalMessage())));
         }
     }
 
@@ -59,10 +60,11 @@
         try {
             return Json.COMMENTED.readTree(Files.readString(file));
         } catch (JsonProcessingException e) {
-            String at = "line " + e.getLocation().getLineNr();
-            throw new SettingsException(name, List.of(new SettingsFault(at, "bad JSON", e.getOriginalMessage())));
+            String location = "line " + e.getLocation().getLineNr();
+            throw new SettingsException(
+                    name, List.of(new SettingsFault(location, "invalid JSON", e.getOriginalMessage())));
         } catch (IOException e) {
-            throw new SettingsException(name, List.of(new SettingsFault("/", "no readable file", e.toString())));
+            throw new SettingsException(name, List.of(new SettingsFault("/", "an unreadable file", e.toString())));
         }
     }
 }
--- a/core/src/main/java/org/hallwall/core/settings/SettingsSchema.java
+++ b/core/src/main/java/org/hallwall/core/settings/SettingsSchema.java
@@ -30,7 +30,7 @@
 import com.networknt.schema.SchemaRegistry;
 import com.networknt.schema.SpecificationVersion;
 
-/** Checks JSON documents against a JSON schema from the class path. */
+/** Validates JSON documents against a JSON schema from the class path. */
 public final class SettingsSchema {
 
     private final Schema schema;
@@ -42,10 +42,10 @@
     /**
      * Loads a schema.
      *
-     * @param owner the class whose package holds the schema
-     * @param resource the name of the schema's resource
+     * @param owner the class whose package contains the schema
+     * @param resource the resource name of the schema
      * @return the schema
-     * @throws IllegalStateException if the build has left the schema out
+     * @throws IllegalStateException if the resource is missing or cannot be read
      */
     public static SettingsSchema load(Class<?> owner, String resource) {
         SchemaRegistry registry = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12);
@@ -55,26 +55,26 @@
             }
             return new SettingsSchema(registry.getSchema(Json.MAPPER.readTree(in)));
         } catch (IOException e) {
-            throw new IllegalStateException("schema " + resource + " cannot be read", e);
+            throw new IllegalStateException("cannot read schema " + resource, e);
         }
     }
 
     /**
-     * Checks a document.
+     * Validates a document.
      *
      * @param document the document
-     * @return every fault; empty if the document is valid
+     * @return all errors; empty if the document is valid
      */
     public List<SettingsFault> check(JsonNode document) {
         List<SettingsFault> faults = new ArrayList<>();
         for (Error e : schema.validate(document)) {
-            String at = e.getInstanceLocation().toString();
-            faults.add(new SettingsFault(at.isEmpty() ? "/" : at, found(e.getInstanceNode()), e.getMessage()));
+            String path = e.getInstanceLocation().toString();
+            faults.add(new SettingsFault(path.isEmpty() ? "/" : path, describe(e.getInstanceNode()), e.getMessage()));
         }
         return faults;
     }
 
-    private static String found(JsonNode node) {
+    private static String describe(JsonNode node) {
         if (node == null) {
             return "nothing";
         }
--- a/core/src/main/java/org/hallwall/core/settings/package-info.java
+++ b/core/src/main/java/org/hallwall/core/settings/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** Settings files: JSON with comments, checked against a schema. */
+/** Settings files in JSON with comments, validated against a schema. */
 package org.hallwall.core.settings;
--- a/core/src/main/java/org/hallwall/core/time/RecentPeak.java
+++ b/core/src/main/java/org/hallwall/core/time/RecentPeak.java
@@ -18,57 +18,58 @@
  */
 package org.hallwall.core.time;
 
-/** The highest of the figures that were noted lately. */
+/** Tracks the maximum of recent values over two alternating windows. */
 public final class RecentPeak {
 
-    private final long memoryMillis;
+    private final long windowMillis;
     private final Ticker ticker;
-    private long since;
+    private long windowStart;
     private int current;
-    private int last;
+    private int previous;
 
     /**
-     * Creates it; no figure is known.
+     * Creates the tracker without any value.
      *
-     * @param memoryMillis how long a figure counts at least, in milliseconds; it is forgotten after twice as long
+     * @param windowMillis the minimum time in milliseconds that a value is retained; it is dropped after at most twice
+     *     that time
      * @param ticker the clock
      */
-    public RecentPeak(long memoryMillis, Ticker ticker) {
-        this.memoryMillis = memoryMillis;
+    public RecentPeak(long windowMillis, Ticker ticker) {
+        this.windowMillis = windowMillis;
         this.ticker = ticker;
-        this.since = ticker.millis();
+        this.windowStart = ticker.millis();
     }
 
     /**
-     * Notes a figure.
+     * Records a value.
      *
-     * @param figure the figure; not negative
+     * @param value the value; not negative
      */
-    public synchronized void note(int figure) {
-        turn();
-        current = Math.max(current, figure);
+    public synchronized void note(int value) {
+        rotate();
+        current = Math.max(current, value);
     }
 
     /**
-     * Gives the highest figure.
+     * Returns the maximum of the recent values.
      *
-     * @return the figure; zero if none was noted lately
+     * @return the maximum; zero if there is no recent value
      */
     public synchronized int highest() {
-        turn();
-        return Math.max(current, last);
+        rotate();
+        return Math.max(current, previous);
     }
 
-    private void turn() {
+    private void rotate() {
         long now = ticker.millis();
-        if (now - since >= 2 * memoryMillis) {
-            last = 0;
+        if (now - windowStart >= 2 * windowMillis) {
+            previous = 0;
             current = 0;
-            since = now;
-        } else if (now - since >= memoryMillis) {
-            last = current;
+            windowStart = now;
+        } else if (now - windowStart >= windowMillis) {
+            previous = current;
             current = 0;
-            since += memoryMillis;
+            windowStart += windowMillis;
         }
     }
 }
--- a/core/src/main/java/org/hallwall/core/time/Ticker.java
+++ b/core/src/main/java/org/hallwall/core/time/Ticker.java
@@ -22,13 +22,13 @@
 @FunctionalInterface
 public interface Ticker {
 
-    /** The clock of this process. */
+    /** The monotonic clock of the system. */
     Ticker SYSTEM = () -> System.nanoTime() / 1_000_000L;
 
     /**
-     * Reads the clock.
+     * Returns the current time.
      *
-     * @return milliseconds since an arbitrary start
+     * @return milliseconds since an arbitrary origin
      */
     long millis();
 }
--- a/core/src/main/java/org/hallwall/core/time/package-info.java
+++ b/core/src/main/java/org/hallwall/core/time/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** Clocks that tests can replace. */
+/** Replaceable clocks and time-based statistics. */
 package org.hallwall.core.time;
--- a/core/src/main/java/org/hallwall/core/verdict/Problem.java
+++ b/core/src/main/java/org/hallwall/core/verdict/Problem.java
@@ -25,14 +25,14 @@
 /**
  * The body of an {@code application/problem+json} reply.
  *
- * @param type the stable name of the kind of refusal
- * @param title the short title of the kind
+ * @param type the stable name of the problem type
+ * @param title the title of the problem type
  * @param status the HTTP status
- * @param detail one sentence on this refusal
+ * @param detail a description of this occurrence
  * @param verdict whether the request may have run
- * @param verdictText what the verdict means for the caller
- * @param requestId the id of the request; null before one is given
- * @param faults the faults of a refused declaration; null for other refusals
+ * @param verdictText the explanation of the verdict
+ * @param requestId the id of the request; null if none has been assigned
+ * @param faults the validation errors of a rejected declaration; null for other problems
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 public record Problem(
@@ -49,9 +49,9 @@
     public static final String MEDIA_TYPE = "application/problem+json";
 
     /**
-     * Describes a refusal.
+     * Creates the body for a rejected request.
      *
-     * @param refusal the refusal
+     * @param refusal the rejection
      * @param requestId the id of the request; may be null
      * @return the body
      */
--- a/core/src/main/java/org/hallwall/core/verdict/ProblemType.java
+++ b/core/src/main/java/org/hallwall/core/verdict/ProblemType.java
@@ -18,7 +18,7 @@
  */
 package org.hallwall.core.verdict;
 
-/** The kinds of refusal, each with its stable name and HTTP status. */
+/** The types of problem replies, each with its stable name and HTTP status. */
 public enum ProblemType {
     BAD_REQUEST("bad-request", 400, "The request is malformed"),
     UNAUTHORIZED("unauthorized", 401, "The workspace key is missing or unknown"),
@@ -54,11 +54,11 @@
     }
 
     /**
-     * Finds a type by its stable name.
+     * Returns the type with a stable name.
      *
      * @param slug the name
      * @return the type
-     * @throws IllegalArgumentException if there is none of that name
+     * @throws IllegalArgumentException if no type has this name
      */
     public static ProblemType bySlug(String slug) {
         for (ProblemType t : values()) {
@@ -66,11 +66,11 @@
                 return t;
             }
         }
-        throw new IllegalArgumentException("no problem type " + slug);
+        throw new IllegalArgumentException("unknown problem type " + slug);
     }
 
     /**
-     * Gives the stable name used in the {@code type} member of a problem reply.
+     * Returns the stable name used in the {@code type} member of a problem reply.
      *
      * @return the name
      */
@@ -79,7 +79,7 @@
     }
 
     /**
-     * Gives the HTTP status of a reply of this type.
+     * Returns the HTTP status of a reply of this type.
      *
      * @return the status
      */
@@ -88,7 +88,7 @@
     }
 
     /**
-     * Gives the short title.
+     * Returns the short title.
      *
      * @return the title
      */
--- a/core/src/main/java/org/hallwall/core/verdict/RefusalException.java
+++ b/core/src/main/java/org/hallwall/core/verdict/RefusalException.java
@@ -21,7 +21,7 @@
 import java.time.Duration;
 import java.util.List;
 
-/** A refusal of a request, with the verdict on whether it may have run. */
+/** Thrown when a request is rejected, with the verdict on whether it may have run. */
 public class RefusalException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -32,25 +32,25 @@
     private final transient List<String> faults;
 
     /**
-     * Creates a refusal that says when to retry.
+     * Creates a rejection with a delay for retries.
      *
-     * @param type the kind of refusal
+     * @param type the problem type
      * @param verdict whether the request may have run
-     * @param detail one sentence for the caller
-     * @param retryAfter when to retry; zero if a retry makes no sense
+     * @param detail the description for the caller
+     * @param retryAfter the delay before a retry; zero if a retry is pointless
      */
     public RefusalException(ProblemType type, Verdict verdict, String detail, Duration retryAfter) {
         this(type, verdict, detail, retryAfter, List.of());
     }
 
     /**
-     * Creates a refusal of a declaration.
+     * Creates the rejection of an invalid declaration.
      *
-     * @param type the kind of refusal
+     * @param type the problem type
      * @param verdict whether the request may have run
-     * @param detail one sentence for the caller
-     * @param retryAfter when to retry; zero if a retry makes no sense
-     * @param faults each fault with its path
+     * @param detail the description for the caller
+     * @param retryAfter the delay before a retry; zero if a retry is pointless
+     * @param faults the validation errors, each with its path
      */
     public RefusalException(
             ProblemType type, Verdict verdict, String detail, Duration retryAfter, List<String> faults) {
@@ -62,26 +62,26 @@
     }
 
     /**
-     * Creates a refusal of a request that did not run and that need not be retried.
+     * Creates the rejection of a request that did not run and should not be retried.
      *
-     * @param type the kind of refusal
-     * @param detail one sentence for the caller
+     * @param type the problem type
+     * @param detail the description for the caller
      */
     public RefusalException(ProblemType type, String detail) {
         this(type, Verdict.NOT_RUN, detail, Duration.ZERO);
     }
 
     /**
-     * Gives the kind of refusal.
+     * Returns the problem type.
      *
-     * @return the kind
+     * @return the type
      */
     public ProblemType type() {
         return type;
     }
 
     /**
-     * Says whether the request may have run.
+     * Returns whether the request may have run.
      *
      * @return the verdict
      */
@@ -90,28 +90,28 @@
     }
 
     /**
-     * Says when to retry.
+     * Returns the delay before a retry.
      *
-     * @return the delay; zero if coming back makes no sense
+     * @return the delay; zero if a retry is pointless
      */
     public Duration retryAfter() {
         return retryAfter;
     }
 
     /**
-     * Gives the faults of a refused declaration.
+     * Returns the validation errors of an invalid declaration.
      *
-     * @return each fault with its path; empty for other refusals
+     * @return each error with its path; empty for other rejections
      */
     public List<String> faults() {
         return faults;
     }
 
     /**
-     * Gives the same refusal with the verdict of an earlier attempt added.
+     * Returns this rejection with the verdict of earlier attempts included.
      *
      * @param earlier the verdict of the earlier attempts
-     * @return a refusal whose verdict covers all attempts
+     * @return a rejection whose verdict covers all attempts
      */
     public RefusalException after(Verdict earlier) {
         return new RefusalException(type, verdict.and(earlier), getMessage(), retryAfter, faults);
--- a/core/src/main/java/org/hallwall/core/verdict/Verdict.java
+++ b/core/src/main/java/org/hallwall/core/verdict/Verdict.java
@@ -18,26 +18,26 @@
  */
 package org.hallwall.core.verdict;
 
-/** Says whether a request may have run on a target. */
+/** Tells whether a request may have run on a target. */
 public enum Verdict {
     /** No target has started the request. */
     NOT_RUN("The request did not run. Sending it again is safe.") {
         @Override
-        public boolean allowsRetry(boolean repeatable) {
+        public boolean allowsRetry(boolean idempotent) {
             return true;
         }
     },
     /** A target may have started the request, and its outcome is unknown. */
     MAY_HAVE_RUN("The request may have run. Send it again only if running it twice is harmless.") {
         @Override
-        public boolean allowsRetry(boolean repeatable) {
-            return repeatable;
+        public boolean allowsRetry(boolean idempotent) {
+            return idempotent;
         }
     },
     /** A target has run the request. */
     RAN("The request ran, but its whole answer cannot be delivered.") {
         @Override
-        public boolean allowsRetry(boolean repeatable) {
+        public boolean allowsRetry(boolean idempotent) {
             return false;
         }
     };
@@ -49,27 +49,27 @@
     }
 
     /**
-     * Says whether another attempt is allowed after a failure with this verdict.
+     * Returns whether a retry is allowed after a failure with this verdict.
      *
-     * @param repeatable whether the caller marked the request as repeatable
-     * @return true if another attempt cannot break a promise to the caller
+     * @param idempotent whether the caller marked the request as repeatable
+     * @return true if a retry is safe
      */
-    public abstract boolean allowsRetry(boolean repeatable);
+    public abstract boolean allowsRetry(boolean idempotent);
 
     /**
-     * Gives the sentence shown to the caller.
+     * Returns the explanation for the caller.
      *
-     * @return the sentence
+     * @return the explanation
      */
     public String callerText() {
         return callerText;
     }
 
     /**
-     * Combines the verdicts of two attempts at one request.
+     * Combines the verdicts of two attempts at the same request.
      *
      * @param other the verdict of the other attempt
-     * @return the verdict of both together: the one that promises less
+     * @return the verdict that allows fewer retries
      */
     public Verdict and(Verdict other) {
         return compareTo(other) >= 0 ? this : other;
--- a/core/src/main/java/org/hallwall/core/verdict/package-info.java
+++ b/core/src/main/java/org/hallwall/core/verdict/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** What a failure says about whether a request ran. */
+/** Verdicts on whether a failed request may have run, and problem replies. */
 package org.hallwall.core.verdict;
--- a/core/src/test/java/org/hallwall/core/settings/NetAddressTest.java
+++ b/core/src/test/java/org/hallwall/core/settings/NetAddressTest.java
@@ -34,7 +34,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "host", ":80", "h:x", "h:70000", "h:-1"})
-    void refusesOtherForms(String text) {
+    void rejectsMalformedAddress(String text) {
         assertThrows(IllegalArgumentException.class, () -> NetAddress.parse(text));
     }
 }
--- a/core/src/test/java/org/hallwall/core/time/RecentPeakTest.java
+++ b/core/src/test/java/org/hallwall/core/time/RecentPeakTest.java
@@ -24,14 +24,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The highest figure counts for as long as it was promised, and is forgotten after twice that. */
+/** Verifies that a value is retained for one window and dropped after two. */
 class RecentPeakTest {
 
-    private static final long MEMORY = 1_000;
+    private static final long WINDOW_MILLIS = 1_000;
 
     @ParameterizedTest
     @CsvSource({
-        // noted at, asked at, what the peak is: 9 was noted first, 4 at the time of asking
+        // time of recording 9, time of recording 4 and reading, expected maximum
         "0, 0, 9",
         "0, 1000, 9",
         "0, 1999, 9",
@@ -41,14 +41,14 @@
         "900, 2000, 4",
         "1500, 2500, 9"
     })
-    void theHighestCountsForItsTime(long notedAt, long askedAt, int peak) {
+    void valueExpiresBetweenOneAndTwoWindows(long recordedAt, long readAt, int expected) {
         AtomicLong now = new AtomicLong();
-        RecentPeak p = new RecentPeak(MEMORY, now::get);
+        RecentPeak p = new RecentPeak(WINDOW_MILLIS, now::get);
         Assertions.assertEquals(0, p.highest());
-        now.set(notedAt);
+        now.set(recordedAt);
         p.note(9);
-        now.set(askedAt);
+        now.set(readAt);
         p.note(4);
-        Assertions.assertEquals(peak, p.highest());
+        Assertions.assertEquals(expected, p.highest());
     }
 }
--- a/core/src/test/java/org/hallwall/core/verdict/VerdictTest.java
+++ b/core/src/test/java/org/hallwall/core/verdict/VerdictTest.java
@@ -34,8 +34,8 @@
         "RAN, false, false",
         "RAN, true, false"
     })
-    void allowsRetryOnlyWhereNoPromiseForbidsIt(Verdict verdict, boolean repeatable, boolean allowed) {
-        assertEquals(allowed, verdict.allowsRetry(repeatable));
+    void allowsRetryOnlyIfSafe(Verdict verdict, boolean idempotent, boolean allowed) {
+        assertEquals(allowed, verdict.allowsRetry(idempotent));
     }
 
     @ParameterizedTest
@@ -45,7 +45,7 @@
         "MAY_HAVE_RUN, NOT_RUN, MAY_HAVE_RUN",
         "RAN, MAY_HAVE_RUN, RAN"
     })
-    void twoAttemptsPromiseWhatTheWeakerOneDoes(Verdict a, Verdict b, Verdict both) {
-        assertEquals(both, a.and(b));
+    void combinedVerdictAllowsFewestRetries(Verdict a, Verdict b, Verdict combined) {
+        assertEquals(combined, a.and(b));
     }
 }
