--- a/domain/src/main/java/org/hallwall/domain/ControllerState.java
+++ b/domain/src/main/java/org/hallwall/domain/ControllerState.java
@@ -26,15 +26,15 @@
 import org.hallwall.core.id.InstanceId;
 
 /**
- * The state of a domain controller for a dump.
+ * The state of a domain controller, as shown in dumps.
  *
- * @param phase what it does
+ * @param phase the current phase
  * @param leaseHolder the process to which this one has granted the lease; null if none
  * @param term the lease term
- * @param lastFencing the last fencing number given out or seen
- * @param ordered the orders that targets have not announced yet
+ * @param lastFencing the highest fencing number issued or observed
+ * @param ordered the group of the pending order of each target
  * @param draining the groups being drained
- * @param ring the state of its ring
+ * @param ring the state of the controller's event queue
  */
 public record ControllerState(
         Phase phase,
@@ -45,13 +45,13 @@
         List<GroupId> draining,
         DutyState ring) {
 
-    /** What a controller does. */
+    /** The phase of a controller. */
     public enum Phase {
         /** Another process holds the lease, or none does. */
         STANDBY,
-        /** It has the lease and listens before its first order. */
+        /** This process holds the lease and collects announcements before its first order. */
         LISTENING,
-        /** It has the lease and gives orders. */
+        /** This process holds the lease and sends orders. */
         ACTIVE
     }
 }
--- a/domain/src/main/java/org/hallwall/domain/DomainController.java
+++ b/domain/src/main/java/org/hallwall/domain/DomainController.java
@@ -45,14 +45,17 @@
 import org.hallwall.resource.Resource;
 import org.jboss.logging.Logger;
 
-/** Runs for the controller's lease and, while it holds it, keeps the groups of the failure domain as declared. */
+/**
+ * Competes for the controller lease of a failure domain and, while it holds the lease, reconciles the groups of the
+ * domain with the declarations.
+ */
 public final class DomainController implements Closeable {
 
     private static final Logger LOG = Logger.getLogger(DomainController.class);
-    private static final int RING = 4_096;
-    private static final long TICK_MILLIS = 100;
-    private static final long BEACON_MILLIS = 300;
-    private static final long REPORT_MILLIS = 1_000;
+    private static final int QUEUE_CAPACITY = 4_096;
+    private static final long TICK_INTERVAL_MILLIS = 100;
+    private static final long BEACON_INTERVAL_MILLIS = 300;
+    private static final long REPORT_INTERVAL_MILLIS = 1_000;
 
     private final InstanceId self;
     private final FailureDomainId domain;
@@ -67,25 +70,25 @@
     private final GroupPlanner planner;
     private final DutyThread duty;
     private final FencingSequence fencing = new FencingSequence();
-    private final DomainAccount account;
-    private final GroupDrains drains;
-    private final Map<InstanceId, Ordered> ordered = new HashMap<>();
+    private final DomainStatusReporter reporter;
+    private final DrainTracker drainTracker;
+    private final Map<InstanceId, PendingOrder> pendingOrders = new HashMap<>();
     private volatile ControllerState state;
-    private boolean held;
-    private long heldSince;
-    private long tickedAt;
-    private long beaconAt;
-    private long reportAt;
+    private boolean holdsLease;
+    private long leaseAcquiredAt;
+    private long lastTickAt;
+    private long lastBeaconAt;
+    private long lastReportAt;
 
     /**
      * Creates the controller; {@link #start()} starts it.
      *
-     * @param seat the place of this entry in the failure domain
-     * @param directory what targets announce
-     * @param declarations the declarations in force
-     * @param peers the other entries of the failure domain
-     * @param engines calls engines
-     * @param ticker the clock
+     * @param seat the configuration of the controller
+     * @param directory the latest announcement of each target
+     * @param declarations supplies the current declarations
+     * @param peers sends messages to the other entries of the failure domain
+     * @param engines the client for engines
+     * @param ticker the monotonic clock
      * @param random the source of random delays
      */
     public DomainController(
@@ -106,49 +109,49 @@
         this.ticker = ticker;
         this.maxLoads = seat.maxLoads();
         this.planner = new GroupPlanner(timing);
-        this.account = new DomainAccount(seat);
-        this.drains = new GroupDrains(timing);
+        this.reporter = new DomainStatusReporter(seat);
+        this.drainTracker = new DrainTracker(timing);
         long now = ticker.millis();
-        this.tickedAt = now;
+        this.lastTickAt = now;
         this.elector = new LeaseElector(self, peers.others().size() + 1, timing, random, now);
-        this.duty = new DutyThread("controller", RING, TICK_MILLIS, this::tick);
-        this.state = describe(now);
+        this.duty = new DutyThread("controller", QUEUE_CAPACITY, TICK_INTERVAL_MILLIS, this::tick);
+        this.state = currentState(now);
     }
 
-    /** Starts the thread. */
+    /** Starts the controller thread. */
     public void start() {
         duty.start();
     }
 
     /**
-     * Takes a message about the lease.
+     * Enqueues a lease message for the controller thread.
      *
      * @param message the message
      */
     public void receive(LeaseMessage message) {
-        duty.offer(() -> onLease(message));
+        duty.offer(() -> handleLeaseMessage(message));
     }
 
     /**
-     * Takes the beacon of the controller, whose counters this process goes on with if it takes over.
+     * Enqueues a beacon. Its counters are merged so that they continue if this process becomes the controller.
      *
      * @param beacon the beacon
      */
     public void receive(DomainMessage.Beacon beacon) {
-        duty.offer(() -> account.adopt(beacon));
+        duty.offer(() -> reporter.mergeCounters(beacon));
     }
 
     /**
-     * Takes an entry's answer to a beacon.
+     * Enqueues an entry's report of its runs on draining groups.
      *
-     * @param report the answer
+     * @param report the report
      */
     public void receive(DomainMessage.DrainReport report) {
-        duty.offer(() -> drains.take(report, ticker.millis()));
+        duty.offer(() -> drainTracker.recordReport(report, ticker.millis()));
     }
 
     /**
-     * Gives the latest state.
+     * Returns the state as of the last tick.
      *
      * @return the state
      */
@@ -156,26 +159,26 @@
         return state;
     }
 
-    /** Gives the lease back and stops. */
+    /** Releases the lease and stops the controller thread. */
     @Override
     public void close() {
         duty.offer(() -> {
             LeaseMessage.Release release = elector.release(ticker.millis());
             if (release != null) {
-                peers.others().forEach(o -> peers.send(o, release));
+                peers.others().forEach(p -> peers.send(p, release));
             }
         });
         duty.close();
     }
 
-    private void onLease(LeaseMessage message) {
+    private void handleLeaseMessage(LeaseMessage message) {
         long now = ticker.millis();
         if (message instanceof LeaseMessage.Request m) {
-            peers.send(m.candidate().instance(), elector.answer(now, m));
+            peers.send(m.candidate().instance(), elector.handleRequest(now, m));
         } else if (message instanceof LeaseMessage.Reply m) {
-            elector.receive(now, m);
+            elector.handleReply(now, m);
         } else if (message instanceof LeaseMessage.Release m) {
-            elector.receive(m);
+            elector.handleRelease(m);
         }
     }
 
@@ -183,52 +186,53 @@
         long now = ticker.millis();
         LeaseMessage message = elector.tick(now);
         if (message != null) {
-            peers.others().forEach(o -> peers.send(o, message));
+            peers.others().forEach(p -> peers.send(p, message));
         }
-        noteLease(now);
-        if (held) {
-            act(now);
+        updateLeaseState(now);
+        if (holdsLease) {
+            reconcile(now);
         }
-        tickedAt = now;
-        state = describe(now);
+        lastTickAt = now;
+        state = currentState(now);
     }
 
-    private void noteLease(long now) {
-        boolean holds = elector.holds(now);
-        if (holds && !held) {
-            heldSince = now;
-            ordered.clear();
-            drains.keepOnly(Set.of(), now);
-            LOG.infof("domain: %s controls %s in term %d", self, domain, elector.term());
-        } else if (!holds && held) {
-            LOG.infof("domain: %s no longer controls %s", self, domain);
+    private void updateLeaseState(long now) {
+        boolean heldNow = elector.holdsLease(now);
+        if (heldNow && !holdsLease) {
+            leaseAcquiredAt = now;
+            pendingOrders.clear();
+            drainTracker.updateDraining(Set.of(), now);
+            LOG.infof("domain: %s acquired the controller lease of %s in term %d", self, domain, elector.term());
+        } else if (!heldNow && holdsLease) {
+            LOG.infof("domain: %s lost the controller lease of %s", self, domain);
         }
-        held = holds;
+        holdsLease = heldNow;
     }
 
     private boolean isActive(long now) {
-        // A member that was not heard since a pause of this process must not be taken for lost.
-        boolean heardAll = now - directory.listeningSince() >= timing.hearAll();
-        return held && heardAll && now - heldSince >= timing.listenFirst();
+        // After a pause of this process, a member is not considered lost until all targets had time to announce
+        // themselves.
+        boolean allDiscovered = now - directory.listeningSince() >= timing.hearAll();
+        return holdsLease && allDiscovered && now - leaseAcquiredAt >= timing.initialListenTime();
     }
 
-    private void act(long now) {
+    private void reconcile(long now) {
         List<KnownTarget> targets = engineTargets();
         Declarations declared = declarations.get();
-        DomainView view = new DomainView(now, targets, wanted(declared), GroupViews.of(targets));
+        DomainSnapshot snapshot = new DomainSnapshot(now, targets, desiredGroups(declared), GroupViews.of(targets));
         if (isActive(now) && declared.version() > 0) {
-            fencing.begin(elector.term());
-            forgetAnnounced(now);
-            plan(view);
+            fencing.startTerm(elector.term());
+            removeConfirmedOrders(now);
+            executePlan(snapshot);
         }
-        account.measure(view, now - tickedAt);
-        tellPeers(view);
+        reporter.updateCounters(snapshot, now - lastTickAt);
+        publishStatus(snapshot);
     }
 
     private List<KnownTarget> engineTargets() {
         List<KnownTarget> out = new ArrayList<>();
         for (KnownTarget t : directory.list()) {
-            fencing.saw(t.announcement().fencing());
+            fencing.observe(t.announcement().fencing());
             if (t.announcement().service() == null) {
                 out.add(t);
             }
@@ -236,7 +240,7 @@
         return out;
     }
 
-    private List<WantedGroup> wanted(Declarations declared) {
+    private List<WantedGroup> desiredGroups(Declarations declared) {
         List<WantedGroup> out = new ArrayList<>();
         for (Map.Entry<ModelGroupId, Resource> e : declared.modelGroups().entrySet()) {
             int share = e.getValue().shares().getOrDefault(domain.value(), 0);
@@ -248,34 +252,35 @@
 
     // --- orders
 
-    private void forgetAnnounced(long now) {
-        ordered.entrySet().removeIf(e -> {
+    private void removeConfirmedOrders(long now) {
+        pendingOrders.entrySet().removeIf(e -> {
             KnownTarget t = directory.get(e.getKey());
-            boolean announced = t != null && e.getValue().isAnnounced(t);
-            return announced || now >= e.getValue().until;
+            boolean announced = t != null && e.getValue().isConfirmedBy(t);
+            return announced || now >= e.getValue().expiresAt;
         });
     }
 
-    private void plan(DomainView view) {
-        long now = view.now();
-        Map<InstanceId, GroupId> moving = new HashMap<>();
-        ordered.forEach((k, v) -> moving.put(k, v.group));
-        Set<GroupId> drained = drains.drained(view.groups(), now);
-        GroupPlanInput input = new GroupPlanInput(now, view.targets(), view.wanted(), moving, drained, maxLoads);
+    private void executePlan(DomainSnapshot snapshot) {
+        long now = snapshot.now();
+        Map<InstanceId, GroupId> pendingGroups = new HashMap<>();
+        pendingOrders.forEach((k, v) -> pendingGroups.put(k, v.group));
+        Set<GroupId> drained = drainTracker.findDrained(snapshot.groups(), now);
+        GroupPlanInput input =
+                new GroupPlanInput(now, snapshot.targets(), snapshot.wanted(), pendingGroups, drained, maxLoads);
         Set<GroupId> draining = new HashSet<>();
         for (GroupStep step : planner.plan(input)) {
             if (step instanceof GroupStep.Form s) {
-                form(now, s);
+                formGroup(now, s);
             } else if (step instanceof GroupStep.Dissolve s) {
-                dissolve(now, s);
+                dissolveGroup(now, s);
             } else if (step instanceof GroupStep.Drain s) {
                 draining.add(s.group());
             }
         }
-        drains.keepOnly(draining, now);
+        drainTracker.updateDraining(draining, now);
     }
 
-    private void form(long now, GroupStep.Form step) {
+    private void formGroup(long now, GroupStep.Form step) {
         FencingNumber number = fencing.next();
         ModelGroupSpec spec = step.wanted().spec();
         GroupId group = GroupNames.of(step.wanted().modelGroup(), number);
@@ -284,7 +289,7 @@
             members.add(
                     new EngineOrder.Member(m, directory.get(m).announcement().address()));
         }
-        LOG.infof("domain: forms %s of %s", group, step.members());
+        LOG.infof("domain: forming group %s with members %s", group, step.members());
         EngineOrder order = new EngineOrder(
                 EngineOrder.Kind.JOIN,
                 group,
@@ -297,76 +302,79 @@
                 spec.adapters(),
                 spec.role().name());
         for (InstanceId m : step.members()) {
-            send(now, m, order);
+            sendOrder(now, m, order);
         }
     }
 
-    private void dissolve(long now, GroupStep.Dissolve step) {
+    private void dissolveGroup(long now, GroupStep.Dissolve step) {
         FencingNumber number = fencing.next();
-        LOG.infof("domain: dissolves %s, frees %s", step.group(), step.members());
+        LOG.infof("domain: dissolving group %s, releasing members %s", step.group(), step.members());
         long expiresAt = System.currentTimeMillis() + timing.orderExpiry();
         EngineOrder order = new EngineOrder(
                 EngineOrder.Kind.LEAVE, step.group(), null, number, expiresAt, List.of(), null, null, null, null);
         for (InstanceId m : step.members()) {
-            send(now, m, order);
+            sendOrder(now, m, order);
         }
     }
 
-    /** The lease is checked right before each send; what is left is a freeze between the check and the send. */
-    private void send(long now, InstanceId target, EngineOrder order) {
-        if (!elector.holds(ticker.millis())) {
+    /**
+     * Sends an order if the lease is still held. A pause between the check and the send is not detected here; targets
+     * that check fencing numbers reject an order that is then outdated.
+     */
+    private void sendOrder(long now, InstanceId target, EngineOrder order) {
+        if (!elector.holdsLease(ticker.millis())) {
             return;
         }
-        long until = now + timing.orderExpiry() + 2 * timing.announceLease();
-        ordered.put(target, new Ordered(order.kind(), order.group(), until));
+        long expiresAt = now + timing.orderExpiry() + 2 * timing.announceLease();
+        pendingOrders.put(target, new PendingOrder(order.kind(), order.group(), expiresAt));
         engines.order(directory.get(target).announcement().address(), order)
                 .subscribe(v -> {}, e -> duty.offer(() -> onOrderFailed(target, order, e)));
     }
 
     private void onOrderFailed(InstanceId target, EngineOrder order, Throwable e) {
-        LOG.warnf("domain: an order to %s failed, %s", target, e.getMessage());
-        Ordered o = ordered.get(target);
-        boolean notTaken = e instanceof EngineException x && x.verdict() == Verdict.NOT_RUN;
-        if (notTaken && o != null && o.group.equals(order.group())) {
-            ordered.remove(target);
+        LOG.warnf("domain: order to target %s failed: %s", target, e.getMessage());
+        PendingOrder pending = pendingOrders.get(target);
+        boolean notExecuted = e instanceof EngineException x && x.verdict() == Verdict.NOT_RUN;
+        if (notExecuted && pending != null && pending.group.equals(order.group())) {
+            pendingOrders.remove(target);
         }
     }
 
-    private void tellPeers(DomainView view) {
-        long now = view.now();
-        if (now - beaconAt >= BEACON_MILLIS) {
-            beaconAt = now;
-            DomainMessage.Beacon beacon = account.beacon(elector.term(), drains.draining());
-            peers.others().forEach(o -> peers.send(o, beacon));
+    private void publishStatus(DomainSnapshot snapshot) {
+        long now = snapshot.now();
+        if (now - lastBeaconAt >= BEACON_INTERVAL_MILLIS) {
+            lastBeaconAt = now;
+            DomainMessage.Beacon beacon = reporter.createBeacon(elector.term(), drainTracker.draining());
+            peers.others().forEach(p -> peers.send(p, beacon));
             peers.send(self, beacon);
         }
-        if (now - reportAt >= REPORT_MILLIS) {
-            reportAt = now;
-            peers.sendToVoters(account.report(view, elector.term()));
+        if (now - lastReportAt >= REPORT_INTERVAL_MILLIS) {
+            lastReportAt = now;
+            peers.sendToVoters(reporter.createReport(snapshot, elector.term()));
         }
     }
 
-    private ControllerState describe(long now) {
+    private ControllerState currentState(long now) {
         ControllerState.Phase phase = ControllerState.Phase.STANDBY;
-        if (held) {
+        if (holdsLease) {
             phase = isActive(now) ? ControllerState.Phase.ACTIVE : ControllerState.Phase.LISTENING;
         }
-        Map<String, GroupId> moving = new TreeMap<>();
-        ordered.forEach((k, v) -> moving.put(k.value(), v.group));
+        Map<String, GroupId> pendingGroups = new TreeMap<>();
+        pendingOrders.forEach((k, v) -> pendingGroups.put(k.value(), v.group));
         return new ControllerState(
                 phase,
-                elector.holder(now),
+                elector.grantee(now),
                 elector.term(),
                 fencing.last().value(),
-                moving,
-                drains.draining(),
+                pendingGroups,
+                drainTracker.draining(),
                 duty.state());
     }
 
-    /** An order that the target has not announced yet. */
-    private record Ordered(EngineOrder.Kind kind, GroupId group, long until) {
+    /** An order that the target has not yet confirmed by an announcement. */
+    private record PendingOrder(EngineOrder.Kind kind, GroupId group, long expiresAt) {
 
-        boolean isAnnounced(KnownTarget t) {
+        boolean isConfirmedBy(KnownTarget t) {
             boolean member = t.announcement().membership() != null
                     && t.announcement().membership().group().equals(group);
             return (kind == EngineOrder.Kind.JOIN) == member;
--- a/domain/src/main/java/org/hallwall/domain/DomainMeasures.java
+++ b/domain/src/main/java/org/hallwall/domain/DomainCounters.java
@@ -21,18 +21,18 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The two measures of a failure domain: group downtime and stranded accelerators. */
-final class DomainMeasures {
+/** The counters of group downtime and stranded accelerators of a failure domain. */
+final class DomainCounters {
 
     private static final double MILLIS_PER_SECOND = 1_000.0;
 
     private final Map<String, Double> downtimeSeconds = new TreeMap<>();
     private double strandedSeconds;
-    private int strandedNow;
+    private int strandedAccelerators;
 
-    void adopt(DomainMessage.Beacon earlier) {
-        strandedSeconds = Math.max(strandedSeconds, earlier.strandedAcceleratorSeconds());
-        for (Map.Entry<String, Double> e : earlier.downtimeSeconds().entrySet()) {
+    void merge(DomainMessage.Beacon beacon) {
+        strandedSeconds = Math.max(strandedSeconds, beacon.strandedAcceleratorSeconds());
+        for (Map.Entry<String, Double> e : beacon.downtimeSeconds().entrySet()) {
             downtimeSeconds.merge(e.getKey(), e.getValue(), Math::max);
         }
     }
@@ -42,7 +42,7 @@
     }
 
     void addStranded(int accelerators, long millis) {
-        strandedNow = accelerators;
+        strandedAccelerators = accelerators;
         strandedSeconds += accelerators * millis / MILLIS_PER_SECOND;
     }
 
@@ -58,7 +58,7 @@
         return strandedSeconds;
     }
 
-    int strandedNow() {
-        return strandedNow;
+    int strandedAccelerators() {
+        return strandedAccelerators;
     }
 }
--- a/domain/src/main/java/org/hallwall/domain/DomainMessage.java
+++ b/domain/src/main/java/org/hallwall/domain/DomainMessage.java
@@ -32,9 +32,9 @@
 public sealed interface DomainMessage extends PeerMessage {
 
     /**
-     * Registers the kinds of message, those about the lease included.
+     * Registers the message types of this package, lease messages included.
      *
-     * @param kinds where to register them
+     * @param kinds the registry of message types
      */
     static void register(PeerKinds kinds) {
         kinds.add(30, LeaseMessage.Request.class)
@@ -46,22 +46,24 @@
     }
 
     /**
-     * Passes announcements on: whole ones, and for those that only repeat what was passed on lately, what is new.
+     * Relays announcements to another entry, in full or, if only the sequence and the load have changed since the last
+     * full relay, as a short update.
      *
-     * @param announcements the whole announcements
-     * @param repeats the others
+     * @param announcements the full announcements
+     * @param repeats the short updates
      */
     record Relayed(List<Aged> announcements, List<Repeat> repeats) implements DomainMessage {}
 
     /**
-     * An announcement that differs from an earlier one in its sequence and load only. Written without names.
+     * An announcement that differs from an earlier one only in its sequence and load. Serialized as an array to save
+     * space.
      *
      * @param instance the target
-     * @param content the hash of what stays the same
-     * @param sequence the sequence
-     * @param running the runs that it executes
-     * @param queued the runs that wait in it
-     * @param ageMillis how long ago it was heard
+     * @param content the hash of the unchanged content
+     * @param sequence the sequence number
+     * @param running the number of runs in progress on the target
+     * @param queued the number of runs queued on the target
+     * @param ageMillis the time since the announcement was received
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record Repeat(InstanceId instance, int content, long sequence, int running, int queued, int ageMillis) {}
@@ -70,18 +72,18 @@
      * An announcement with its age.
      *
      * @param announcement the announcement
-     * @param ageMillis how long ago it was heard
+     * @param ageMillis the time since the announcement was received
      */
     record Aged(Announcement announcement, long ageMillis) {}
 
     /**
-     * What the controller tells all entries, several times a second.
+     * Periodic broadcast of the controller to all entries.
      *
      * @param controller the controller
      * @param term its lease term
-     * @param draining the groups that must get no new work
-     * @param strandedAcceleratorSeconds the counter, for the next controller
-     * @param downtimeSeconds the counters by model group, for the next controller
+     * @param draining the groups that must receive no new runs
+     * @param strandedAcceleratorSeconds the counter of stranded accelerators, continued by the next controller
+     * @param downtimeSeconds the downtime counter of each model group, continued by the next controller
      */
     record Beacon(
             InstanceId controller,
@@ -92,10 +94,10 @@
             implements DomainMessage {}
 
     /**
-     * Answers a beacon.
+     * Reports an entry's runs on draining groups, in response to a beacon.
      *
      * @param entry the entry
-     * @param outstanding the runs in progress on each draining group
+     * @param outstanding the number of runs in progress by draining group
      */
     record DrainReport(InstanceId entry, Map<String, Integer> outstanding) implements DomainMessage {}
 }
--- a/domain/src/main/java/org/hallwall/domain/DomainPeers.java
+++ b/domain/src/main/java/org/hallwall/domain/DomainPeers.java
@@ -23,18 +23,18 @@
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.wire.PeerMessage;
 
-/** Sends messages to the other entries of the failure domain; a message may be lost. */
+/** Sends messages to the other entries of the failure domain. Delivery is not guaranteed. */
 public interface DomainPeers {
 
     /**
-     * Names the other entries.
+     * Returns the other entries of the failure domain.
      *
-     * @return the entries, without this one
+     * @return the entries, excluding this one
      */
     Set<InstanceId> others();
 
     /**
-     * Sends a message; never blocks.
+     * Sends a message without blocking.
      *
      * @param to the receiver
      * @param message the message
@@ -42,7 +42,7 @@
     void send(InstanceId to, PeerMessage message);
 
     /**
-     * Sends a message to all voters; never blocks.
+     * Sends a message to all voters without blocking.
      *
      * @param message the message
      */
--- a/domain/src/main/java/org/hallwall/domain/DomainSeat.java
+++ b/domain/src/main/java/org/hallwall/domain/DomainSeat.java
@@ -22,11 +22,11 @@
 import org.hallwall.core.id.InstanceId;
 
 /**
- * The place of an entry in its failure domain.
+ * The configuration of the domain controller on an entry.
  *
  * @param self this entry
  * @param domain the failure domain
  * @param timing the time limits
- * @param maxLoads how many targets may load weights at once; zero for no bound
+ * @param maxLoads the maximum number of targets that load weights concurrently; zero for no limit
  */
 public record DomainSeat(InstanceId self, FailureDomainId domain, DomainTiming timing, int maxLoads) {}
--- a/domain/src/main/java/org/hallwall/domain/DomainView.java
+++ b/domain/src/main/java/org/hallwall/domain/DomainSnapshot.java
@@ -24,11 +24,11 @@
 import org.hallwall.core.id.GroupId;
 
 /**
- * The failure domain at one moment, as its controller sees it.
+ * A snapshot of the failure domain on which the controller bases one tick.
  *
- * @param now the clock
+ * @param now the time of the snapshot
  * @param targets the model engines
- * @param wanted what is wanted of each model group
+ * @param wanted the desired state of each model group
  * @param groups the groups that targets announce
  */
-record DomainView(long now, List<KnownTarget> targets, List<WantedGroup> wanted, Map<GroupId, GroupView> groups) {}
+record DomainSnapshot(long now, List<KnownTarget> targets, List<WantedGroup> wanted, Map<GroupId, GroupView> groups) {}
--- a/domain/src/main/java/org/hallwall/domain/DomainTiming.java
+++ b/domain/src/main/java/org/hallwall/domain/DomainTiming.java
@@ -21,51 +21,52 @@
 /**
  * The time limits within a failure domain, in milliseconds.
  *
- * @param announceLease how long an announcement counts; after that the target's group gets no new work
- * @param deadAfter the silence after which a member is replaced
- * @param controllerLease how long the lease of a controller lasts
- * @param orderExpiry how long an order stays in force
- * @param drainSettle how long a drain must be known before its group may be taken apart
+ * @param announceLease how long an announcement is valid; once it has expired the target's group receives no new runs
+ * @param deadAfter the time without an announcement after which a member is replaced
+ * @param controllerLease the duration of the controller lease
+ * @param orderExpiry how long an order is valid
+ * @param drainSettle the minimum time between the start of a drain and the end of its group, so that all entries have
+ *     received the drain
  */
 public record DomainTiming(
         long announceLease, long deadAfter, long controllerLease, long orderExpiry, long drainSettle) {
 
-    /** The usual limits. */
+    /** The default limits. */
     public static final DomainTiming DEFAULT = new DomainTiming(1_500, 5_000, 1_500, 1_000, 1_500);
 
-    private static final int DRIFT_PERCENT = 5;
-    /** How often an announcement is passed on whole, even if it repeats the one before. */
+    private static final int MAX_CLOCK_DRIFT_PERCENT = 5;
+    /** The interval at which an announcement is relayed in full even if its content is unchanged. */
     public static final long WHOLE_EVERY_MILLIS = 4_000;
 
     private static final int PERCENT = 100;
 
-    /** Targets announce themselves about twice a second. */
-    private static final long ANNOUNCE_ROUND_MILLIS = 1_000;
+    /** The time within which every live target announces itself; targets do so about twice a second. */
+    private static final long ANNOUNCE_INTERVAL_MILLIS = 1_000;
 
     /**
-     * Gives how long a holder may trust its lease.
+     * Returns how long a holder may rely on its lease.
      *
-     * @return the lease less the allowed drift of clocks
+     * @return the lease duration less the tolerated clock drift, in milliseconds
      */
-    public long trustedLease() {
-        return controllerLease * (PERCENT - DRIFT_PERCENT) / PERCENT;
+    public long safeLeaseDuration() {
+        return controllerLease * (PERCENT - MAX_CLOCK_DRIFT_PERCENT) / PERCENT;
     }
 
     /**
-     * Gives how long a new controller only listens.
+     * Returns how long a new controller waits before its first order.
      *
-     * @return the longest order in flight and one round of announcements
+     * @return the time after which earlier orders have expired and all targets have announced themselves
      */
-    public long listenFirst() {
-        return orderExpiry + ANNOUNCE_ROUND_MILLIS;
+    public long initialListenTime() {
+        return orderExpiry + ANNOUNCE_INTERVAL_MILLIS;
     }
 
     /**
-     * Gives how long a process that has started, or has stood still, must listen until it has heard of all targets.
+     * Returns how long a process must receive announcements, after a start or a pause, until it knows all targets.
      *
-     * @return the time after which every target was passed on whole
+     * @return the time within which every target is relayed in full, in milliseconds
      */
     public long hearAll() {
-        return WHOLE_EVERY_MILLIS + ANNOUNCE_ROUND_MILLIS;
+        return WHOLE_EVERY_MILLIS + ANNOUNCE_INTERVAL_MILLIS;
     }
 }
--- a/domain/src/main/java/org/hallwall/domain/GroupDrains.java
+++ b/domain/src/main/java/org/hallwall/domain/DrainTracker.java
@@ -28,46 +28,49 @@
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.engine.TargetLoad;
 
-/** Follows the drains that a controller has asked for. Not safe for use by several threads. */
-final class GroupDrains {
+/** Tracks the progress of the drains that a controller has started. Not thread-safe. */
+final class DrainTracker {
 
     private final DomainTiming timing;
-    private final Map<GroupId, Long> since = new HashMap<>();
-    private final Map<InstanceId, Heard> reports = new HashMap<>();
+    private final Map<GroupId, Long> drainStartedAt = new HashMap<>();
+    private final Map<InstanceId, ReceivedReport> reports = new HashMap<>();
 
-    GroupDrains(DomainTiming timing) {
+    DrainTracker(DomainTiming timing) {
         this.timing = timing;
     }
 
-    void keepOnly(Set<GroupId> wanted, long now) {
-        since.keySet().retainAll(wanted);
+    void updateDraining(Set<GroupId> wanted, long now) {
+        drainStartedAt.keySet().retainAll(wanted);
         for (GroupId g : wanted) {
-            since.putIfAbsent(g, now);
+            drainStartedAt.putIfAbsent(g, now);
         }
     }
 
     List<GroupId> draining() {
-        return List.copyOf(since.keySet());
+        return List.copyOf(drainStartedAt.keySet());
     }
 
-    void take(DomainMessage.DrainReport report, long now) {
-        reports.put(report.entry(), new Heard(report, now));
+    void recordReport(DomainMessage.DrainReport report, long now) {
+        reports.put(report.entry(), new ReceivedReport(report, now));
     }
 
-    /** A group is drained when the drain has settled, no entry has a run on it and its first member reports none. */
-    Set<GroupId> drained(Map<GroupId, GroupView> groups, long now) {
+    /**
+     * Finds the groups that are drained: the settle time has passed, every entry with a recent report has no run on the
+     * group, and the head of the group, if present, announces no running or queued run.
+     */
+    Set<GroupId> findDrained(Map<GroupId, GroupView> groups, long now) {
         Set<GroupId> out = new HashSet<>();
-        for (Map.Entry<GroupId, Long> e : since.entrySet()) {
+        for (Map.Entry<GroupId, Long> e : drainStartedAt.entrySet()) {
             GroupView g = groups.get(e.getKey());
             boolean settled = now - e.getValue() >= timing.drainSettle();
-            if (g != null && settled && isQuiet(g) && isQuietAtEntries(e.getKey(), now)) {
+            if (g != null && settled && isHeadIdle(g) && isIdleAtEntries(e.getKey(), now)) {
                 out.add(e.getKey());
             }
         }
         return out;
     }
 
-    private static boolean isQuiet(GroupView g) {
+    private static boolean isHeadIdle(GroupView g) {
         if (g.head() == null) {
             return true;
         }
@@ -75,16 +78,16 @@
         return load.running() == 0 && load.queued() == 0;
     }
 
-    private boolean isQuietAtEntries(GroupId group, long now) {
-        for (Heard h : reports.values()) {
-            boolean live = now - h.at < timing.controllerLease();
-            Integer runs = h.report.outstanding().get(group.value());
-            if (live && (runs == null || runs > 0)) {
+    private boolean isIdleAtEntries(GroupId group, long now) {
+        for (ReceivedReport r : reports.values()) {
+            boolean recent = now - r.receivedAt < timing.controllerLease();
+            Integer runs = r.report.outstanding().get(group.value());
+            if (recent && (runs == null || runs > 0)) {
                 return false;
             }
         }
         return true;
     }
 
-    private record Heard(DomainMessage.DrainReport report, long at) {}
+    private record ReceivedReport(DomainMessage.DrainReport report, long receivedAt) {}
 }
--- a/domain/src/main/java/org/hallwall/domain/FencingSequence.java
+++ b/domain/src/main/java/org/hallwall/domain/FencingSequence.java
@@ -20,16 +20,16 @@
 
 import org.hallwall.core.id.FencingNumber;
 
-/** Gives out the fencing numbers of one controller, each above every number seen. */
+/** Issues the fencing numbers of a controller, each higher than every number observed before. */
 final class FencingSequence {
 
     private FencingNumber last = FencingNumber.NONE;
 
-    void begin(long term) {
+    void startTerm(long term) {
         last = last.max(FencingNumber.firstOf(term));
     }
 
-    void saw(FencingNumber number) {
+    void observe(FencingNumber number) {
         last = last.max(number);
     }
 
--- a/domain/src/main/java/org/hallwall/domain/GroupNames.java
+++ b/domain/src/main/java/org/hallwall/domain/GroupNames.java
@@ -22,33 +22,33 @@
 import org.hallwall.core.id.GroupId;
 import org.hallwall.core.id.ModelGroupId;
 
-/** Names groups: the model group and the fencing number, so that a name never comes again. */
+/** Builds and parses group names. A name consists of the model group and the fencing number, so it is never reused. */
 public final class GroupNames {
 
-    private static final char MARK = ':';
+    private static final char SEPARATOR = ':';
 
     private GroupNames() {}
 
     /**
-     * Names a group.
+     * Returns the name of a new group.
      *
      * @param modelGroup the model group that it serves
-     * @param fencing the fencing number of the order that makes it
+     * @param fencing the fencing number of the order that creates it
      * @return the name
      */
     public static GroupId of(ModelGroupId modelGroup, FencingNumber fencing) {
-        return new GroupId(modelGroup.value() + MARK + fencing);
+        return new GroupId(modelGroup.value() + SEPARATOR + fencing);
     }
 
     /**
-     * Says whether a group serves a model group.
+     * Returns whether a group serves a model group.
      *
      * @param group the group
      * @param modelGroup the model group
-     * @return true if it does
+     * @return true if so
      */
     public static boolean isOf(GroupId group, ModelGroupId modelGroup) {
-        int mark = group.value().lastIndexOf(MARK);
-        return mark > 0 && group.value().substring(0, mark).equals(modelGroup.value());
+        int separator = group.value().lastIndexOf(SEPARATOR);
+        return separator > 0 && group.value().substring(0, separator).equals(modelGroup.value());
     }
 }
--- a/domain/src/main/java/org/hallwall/domain/GroupPlanInput.java
+++ b/domain/src/main/java/org/hallwall/domain/GroupPlanInput.java
@@ -26,15 +26,14 @@
 import org.hallwall.core.id.InstanceId;
 
 /**
- * What the planner decides from.
+ * The input of the planner.
  *
- * @param now the clock
- * @param targets the model engines of the failure domain; those silent for long may be among them
- * @param wanted what is wanted of each model group
- * @param ordered the group that each target was ordered to join lately and has not announced yet; the value of a leave
- *     is the group left
- * @param drained the groups that have finished their runs and get no new ones
- * @param maxLoads how many targets may load weights at once; zero for no bound
+ * @param now the current monotonic time in milliseconds
+ * @param targets the model engines of the failure domain, including those whose announcement has expired
+ * @param wanted the desired state of each model group
+ * @param ordered the group of each order that its target has not confirmed yet: the group to join, or to leave
+ * @param drained the groups that have finished their runs and receive no new ones
+ * @param maxLoads the maximum number of targets that load weights concurrently; zero for no limit
  */
 public record GroupPlanInput(
         long now,
--- a/domain/src/main/java/org/hallwall/domain/GroupPlanner.java
+++ b/domain/src/main/java/org/hallwall/domain/GroupPlanner.java
@@ -51,26 +51,26 @@
     /**
      * Plans the next steps.
      *
-     * @param input what to decide from
-     * @return the steps; empty if the failure domain has converged or must wait
+     * @param input the state of the failure domain
+     * @return the steps; empty if the failure domain has converged or no step is possible yet
      */
     public List<GroupStep> plan(GroupPlanInput input) {
-        return new Round(input).run();
+        return new PlanningRound(input).run();
     }
 
     /** The state of one planning round. */
-    private final class Round {
+    private final class PlanningRound {
 
-        private final GroupPlanInput in;
+        private final GroupPlanInput input;
         private final Map<GroupId, GroupView> groups;
         private final Map<ModelGroupId, List<GroupView>> byModelGroup = new HashMap<>();
         private final IdleTargets idle;
         private final List<GroupStep> steps = new ArrayList<>();
-        private final Set<GroupId> taken = new HashSet<>();
-        private int loadsLeft;
+        private final Set<GroupId> handledGroups = new HashSet<>();
+        private int remainingLoads;
 
-        Round(GroupPlanInput in) {
-            this.in = in;
+        PlanningRound(GroupPlanInput in) {
+            this.input = in;
             List<KnownTarget> alive = new ArrayList<>();
             for (KnownTarget t : in.targets()) {
                 if (t.isFresh(in.now(), timing.deadAfter())) {
@@ -78,8 +78,8 @@
                 }
             }
             this.groups = GroupViews.of(alive);
-            this.idle = idleOf(alive);
-            this.loadsLeft = loadsLeft(alive);
+            this.idle = findIdle(alive);
+            this.remainingLoads = remainingLoads(alive);
             for (GroupView g : groups.values()) {
                 byModelGroup
                         .computeIfAbsent(g.membership().modelGroup(), m -> new ArrayList<>())
@@ -88,12 +88,12 @@
         }
 
         List<GroupStep> run() {
-            dropUnwanted();
-            List<WantedGroup> order = new ArrayList<>(in.wanted());
-            order.sort(Comparator.comparingDouble(this::servingRatio));
+            removeUndeclared();
+            List<WantedGroup> order = new ArrayList<>(input.wanted());
+            order.sort(Comparator.comparingDouble(this::completeRatio));
             for (WantedGroup w : order) {
-                dropSurplus(w);
-                repair(w);
+                removeSurplus(w);
+                repairGroups(w);
             }
             for (WantedGroup w : order) {
                 formMissing(w);
@@ -104,13 +104,13 @@
             return steps;
         }
 
-        private IdleTargets idleOf(List<KnownTarget> alive) {
+        private IdleTargets findIdle(List<KnownTarget> alive) {
             IdleTargets out = new IdleTargets();
             for (KnownTarget t : alive) {
-                boolean free =
-                        t.announcement().membership() == null && !in.ordered().containsKey(t.instance());
+                boolean free = t.announcement().membership() == null
+                        && !input.ordered().containsKey(t.instance());
                 if (free
-                        && t.isFresh(in.now(), timing.announceLease())
+                        && t.isFresh(input.now(), timing.announceLease())
                         && !t.announcement().leaving()) {
                     out.add(t);
                 }
@@ -118,38 +118,38 @@
             return out;
         }
 
-        private int loadsLeft(List<KnownTarget> alive) {
-            if (in.maxLoads() == 0) {
+        private int remainingLoads(List<KnownTarget> alive) {
+            if (input.maxLoads() == 0) {
                 return Integer.MAX_VALUE;
             }
             int loading = 0;
             for (KnownTarget t : alive) {
                 boolean joins = t.announcement().membership() != null
                         && !t.announcement().membership().loaded();
-                if (joins || in.ordered().containsKey(t.instance())) {
+                if (joins || input.ordered().containsKey(t.instance())) {
                     loading++;
                 }
             }
-            return Math.max(0, in.maxLoads() - loading);
+            return Math.max(0, input.maxLoads() - loading);
         }
 
-        private double servingRatio(WantedGroup w) {
+        private double completeRatio(WantedGroup w) {
             int complete = 0;
-            for (GroupView g : of(w)) {
-                complete += g.isComplete(in.now(), timing.announceLease()) ? 1 : 0;
+            for (GroupView g : groupsOf(w)) {
+                complete += g.isComplete(input.now(), timing.announceLease()) ? 1 : 0;
             }
             return w.share() == 0 ? 1 : (double) complete / w.share();
         }
 
-        private List<GroupView> of(WantedGroup w) {
+        private List<GroupView> groupsOf(WantedGroup w) {
             return byModelGroup.getOrDefault(w.modelGroup(), List.of());
         }
 
-        /** A group whose missing members were only just ordered is forming and not broken. */
-        private boolean isStanding(GroupView g) {
+        /** Returns true if every member either announces the group or has a pending order to join it. */
+        private boolean isIntactOrForming(GroupView g) {
             for (InstanceId m : g.membership().members()) {
-                boolean joining = g.group().equals(in.ordered().get(m));
-                if (!g.hasPresent(m) && !joining) {
+                boolean joining = g.group().equals(input.ordered().get(m));
+                if (!g.isPresent(m) && !joining) {
                     return false;
                 }
             }
@@ -157,14 +157,14 @@
         }
 
         private boolean isUsable(GroupView g) {
-            return isStanding(g) && !g.leaving() && !taken.contains(g.group());
+            return isIntactOrForming(g) && !g.leaving() && !handledGroups.contains(g.group());
         }
 
-        // --- groups that nobody wants
+        // --- undeclared and surplus groups
 
-        private void dropUnwanted() {
+        private void removeUndeclared() {
             Set<ModelGroupId> wanted = new HashSet<>();
-            for (WantedGroup w : in.wanted()) {
+            for (WantedGroup w : input.wanted()) {
                 wanted.add(w.modelGroup());
             }
             for (GroupView g : groups.values()) {
@@ -174,25 +174,25 @@
             }
         }
 
-        private void dropSurplus(WantedGroup w) {
-            List<GroupView> standing = new ArrayList<>();
-            for (GroupView g : of(w)) {
+        private void removeSurplus(WantedGroup w) {
+            List<GroupView> usable = new ArrayList<>();
+            for (GroupView g : groupsOf(w)) {
                 if (isUsable(g)) {
-                    standing.add(g);
+                    usable.add(g);
                 }
             }
-            standing.sort(Comparator.comparing((GroupView g) -> g.meets(w.spec()))
+            usable.sort(Comparator.comparing((GroupView g) -> g.matchesSpec(w.spec()))
                     .thenComparing(GroupView::loaded)
                     .thenComparing(GroupView::group));
-            int surplus = standing.size() - w.share();
+            int surplus = usable.size() - w.share();
             for (int i = 0; i < surplus; i++) {
-                drainThenDissolve(standing.get(i));
+                drainThenDissolve(usable.get(i));
             }
         }
 
         private void drainThenDissolve(GroupView g) {
-            taken.add(g.group());
-            if (!isStanding(g) || in.drained().contains(g.group())) {
+            handledGroups.add(g.group());
+            if (!isIntactOrForming(g) || input.drained().contains(g.group())) {
                 dissolve(g);
             } else {
                 steps.add(new GroupStep.Drain(g.group()));
@@ -202,7 +202,7 @@
         private void dissolve(GroupView g) {
             List<InstanceId> members = new ArrayList<>();
             for (KnownTarget t : g.present()) {
-                if (!in.ordered().containsKey(t.instance())) {
+                if (!input.ordered().containsKey(t.instance())) {
                     members.add(t.instance());
                 }
             }
@@ -213,60 +213,60 @@
 
         // --- repair
 
-        private void repair(WantedGroup w) {
-            int standing = 0;
-            for (GroupView g : of(w)) {
-                standing += isUsable(g) ? 1 : 0;
+        private void repairGroups(WantedGroup w) {
+            int usable = 0;
+            for (GroupView g : groupsOf(w)) {
+                usable += isUsable(g) ? 1 : 0;
             }
-            for (GroupView g : of(w)) {
-                if (taken.contains(g.group()) || isUsable(g) || isBusy(g) || isRobbed(g)) {
+            for (GroupView g : groupsOf(w)) {
+                if (handledGroups.contains(g.group()) || isUsable(g) || hasPendingOrder(g) || isMemberReassigned(g)) {
                     continue;
                 }
-                if (g.leaving() && isStanding(g) && !in.drained().contains(g.group())) {
+                if (g.leaving() && isIntactOrForming(g) && !input.drained().contains(g.group())) {
                     steps.add(new GroupStep.Drain(g.group()));
-                    taken.add(g.group());
-                } else if (standing >= w.share()) {
-                    taken.add(g.group());
+                    handledGroups.add(g.group());
+                } else if (usable >= w.share()) {
+                    handledGroups.add(g.group());
                     dissolve(g);
                 } else {
-                    standing += repairOne(w, g) ? 1 : 0;
+                    usable += repairGroup(w, g) ? 1 : 0;
                 }
             }
         }
 
-        /** A survivor of the group was given to another one in this round. */
-        private boolean isRobbed(GroupView g) {
+        /** Returns true if a member of the group was assigned to another group in this round. */
+        private boolean isMemberReassigned(GroupView g) {
             for (GroupStep s : steps) {
-                if (s instanceof GroupStep.Form f && f.members().stream().anyMatch(g::hasPresent)) {
+                if (s instanceof GroupStep.Form f && f.members().stream().anyMatch(g::isPresent)) {
                     return true;
                 }
             }
             return false;
         }
 
-        /** Members that were ordered elsewhere must first announce where they are. */
-        private boolean isBusy(GroupView g) {
+        /** Returns true if a member has a pending order, which it must confirm before the group is changed. */
+        private boolean hasPendingOrder(GroupView g) {
             for (KnownTarget t : g.present()) {
-                if (in.ordered().containsKey(t.instance())) {
+                if (input.ordered().containsKey(t.instance())) {
                     return true;
                 }
             }
             return false;
         }
 
-        private boolean repairOne(WantedGroup w, GroupView g) {
-            taken.add(g.group());
+        private boolean repairGroup(WantedGroup w, GroupView g) {
+            handledGroups.add(g.group());
             List<KnownTarget> members = survivors(g);
             int missing = w.spec().targetsPerReplica() - members.size();
             if (w.spec().repairPolicy().replacesMembers() && missing >= 0 && !members.isEmpty()) {
-                List<KnownTarget> spares = sparesFor(w, g, missing);
-                if (spares != null && mayLoad(members, spares, w)) {
+                List<KnownTarget> spares = findReplacements(w, g, missing);
+                if (spares != null && reserveLoads(members, spares, w)) {
                     idle.remove(spares);
                     members.addAll(spares);
                     form(w, members);
                     return true;
                 }
-                boolean elsewhere = idle.fabricFor(w.spec()) != null;
+                boolean elsewhere = idle.selectFabric(w.spec()) != null;
                 if (!w.spec().repairPolicy().merges() && !elsewhere) {
                     return false;
                 }
@@ -275,16 +275,16 @@
             return false;
         }
 
-        /** Idle targets first; if they are too few, the survivors of another broken group that cannot be repaired. */
-        private List<KnownTarget> sparesFor(WantedGroup w, GroupView g, int missing) {
-            List<KnownTarget> spares = idle.fromFabric(g.fabricDomain(), missing, w.spec());
+        /** Finds replacements among idle targets or, if there are too few, members of other incomplete groups. */
+        private List<KnownTarget> findReplacements(WantedGroup w, GroupView g, int missing) {
+            List<KnownTarget> spares = idle.selectFromFabric(g.fabricDomain(), missing, w.spec());
             if (spares != null) {
                 return spares;
             }
-            List<KnownTarget> found = idle.allOf(g.fabricDomain());
-            for (GroupView other : of(w)) {
-                boolean broken = !taken.contains(other.group()) && !isUsable(other) && !isBusy(other);
-                if (broken && !isStanding(other) && other.fabricDomain().equals(g.fabricDomain())) {
+            List<KnownTarget> found = idle.inFabric(g.fabricDomain());
+            for (GroupView other : groupsOf(w)) {
+                boolean broken = !handledGroups.contains(other.group()) && !isUsable(other) && !hasPendingOrder(other);
+                if (broken && !isIntactOrForming(other) && other.fabricDomain().equals(g.fabricDomain())) {
                     found.addAll(survivors(other));
                 }
             }
@@ -294,7 +294,7 @@
         private List<KnownTarget> survivors(GroupView g) {
             List<KnownTarget> out = new ArrayList<>();
             for (KnownTarget t : g.present()) {
-                if (!t.announcement().leaving() && t.isFresh(in.now(), timing.announceLease())) {
+                if (!t.announcement().leaving() && t.isFresh(input.now(), timing.announceLease())) {
                     out.add(t);
                 }
             }
@@ -304,34 +304,34 @@
         // --- new groups
 
         private void formMissing(WantedGroup w) {
-            int standing = 0;
-            for (GroupView g : of(w)) {
-                standing += isUsable(g) ? 1 : 0;
-            }
-            standing += formedNow(w) + orderedOnly(w);
-            while (standing < w.share()) {
-                List<KnownTarget> members = idle.groupFor(w.spec());
-                if (members == null || !mayLoad(List.of(), members, w)) {
+            int usable = 0;
+            for (GroupView g : groupsOf(w)) {
+                usable += isUsable(g) ? 1 : 0;
+            }
+            usable += countFormed(w) + countUnannounced(w);
+            while (usable < w.share()) {
+                List<KnownTarget> members = idle.selectGroup(w.spec());
+                if (members == null || !reserveLoads(List.of(), members, w)) {
                     return;
                 }
                 idle.remove(members);
                 form(w, members);
-                standing++;
+                usable++;
             }
         }
 
-        /** Groups that were ordered and that no member announces yet. */
-        private int orderedOnly(WantedGroup w) {
-            Set<GroupId> fresh = new HashSet<>();
-            for (GroupId g : in.ordered().values()) {
+        /** Counts the groups that were ordered and that no member announces yet. */
+        private int countUnannounced(WantedGroup w) {
+            Set<GroupId> unannounced = new HashSet<>();
+            for (GroupId g : input.ordered().values()) {
                 if (!groups.containsKey(g) && GroupNames.isOf(g, w.modelGroup())) {
-                    fresh.add(g);
+                    unannounced.add(g);
                 }
             }
-            return fresh.size();
+            return unannounced.size();
         }
 
-        private int formedNow(WantedGroup w) {
+        private int countFormed(WantedGroup w) {
             int n = 0;
             for (GroupStep s : steps) {
                 n += s instanceof GroupStep.Form f && f.wanted() == w ? 1 : 0;
@@ -339,23 +339,23 @@
             return n;
         }
 
-        // --- changes of version
+        // --- version changes
 
         private void replaceOutdated(WantedGroup w) {
             int unavailable = w.share();
             List<GroupView> outdated = new ArrayList<>();
-            for (GroupView g : of(w)) {
+            for (GroupView g : groupsOf(w)) {
                 if (!isUsable(g)) {
                     continue;
                 }
-                boolean complete = g.isComplete(in.now(), timing.announceLease());
-                unavailable -= complete && !in.drained().contains(g.group()) ? 1 : 0;
-                if (complete && !g.meets(w.spec())) {
+                boolean complete = g.isComplete(input.now(), timing.announceLease());
+                unavailable -= complete && !input.drained().contains(g.group()) ? 1 : 0;
+                if (complete && !g.matchesSpec(w.spec())) {
                     outdated.add(g);
                 }
             }
             for (GroupView g : outdated) {
-                boolean drained = in.drained().contains(g.group());
+                boolean drained = input.drained().contains(g.group());
                 if (drained) {
                     reformOrDissolve(w, g);
                 } else if (unavailable < w.spec().maxUnavailable()) {
@@ -366,27 +366,28 @@
         }
 
         private void reformOrDissolve(WantedGroup w, GroupView g) {
-            taken.add(g.group());
+            handledGroups.add(g.group());
             if (g.present().size() != w.spec().targetsPerReplica()) {
                 dissolve(g);
-            } else if (mayLoad(List.of(), g.present(), w)) {
+            } else if (reserveLoads(List.of(), g.present(), w)) {
                 form(w, g.present());
             } else {
                 steps.add(new GroupStep.Drain(g.group()));
             }
         }
 
-        private boolean mayLoad(List<KnownTarget> kept, List<KnownTarget> added, WantedGroup w) {
+        private boolean reserveLoads(List<KnownTarget> kept, List<KnownTarget> added, WantedGroup w) {
             int loads = 0;
             for (KnownTarget t : kept) {
-                loads += IdleTargets.holds(t, w.spec()) ? 0 : 1;
+                loads += IdleTargets.hasWeights(t, w.spec()) ? 0 : 1;
             }
             for (KnownTarget t : added) {
-                loads += IdleTargets.holds(t, w.spec()) ? 0 : 1;
+                loads += IdleTargets.hasWeights(t, w.spec()) ? 0 : 1;
             }
-            boolean allowed = loads <= loadsLeft || (loads > in.maxLoads() && loadsLeft == in.maxLoads());
+            boolean allowed =
+                    loads <= remainingLoads || (loads > input.maxLoads() && remainingLoads == input.maxLoads());
             if (allowed) {
-                loadsLeft = Math.max(0, loadsLeft - loads);
+                remainingLoads = Math.max(0, remainingLoads - loads);
             }
             return allowed;
         }
--- a/domain/src/main/java/org/hallwall/domain/GroupStep.java
+++ b/domain/src/main/java/org/hallwall/domain/GroupStep.java
@@ -23,27 +23,27 @@
 import org.hallwall.core.id.GroupId;
 import org.hallwall.core.id.InstanceId;
 
-/** One step that the planner wants the controller to take. */
+/** One step of a plan, carried out by the controller. */
 public sealed interface GroupStep {
 
     /**
-     * Makes a group of these targets.
+     * Forms a group of the given targets.
      *
-     * @param wanted what the group is for
+     * @param wanted the model group that it serves
      * @param members the members in order of rank
      */
     record Form(WantedGroup wanted, List<InstanceId> members) implements GroupStep {}
 
     /**
-     * Takes the targets out of any group.
+     * Removes the targets from their group.
      *
-     * @param group the group that they leave
+     * @param group the group to dissolve
      * @param members the targets
      */
     record Dissolve(GroupId group, List<InstanceId> members) implements GroupStep {}
 
     /**
-     * Lets a group finish its runs and get no new ones.
+     * Stops new runs on a group while it finishes its current ones.
      *
      * @param group the group
      */
--- a/domain/src/main/java/org/hallwall/domain/GroupView.java
+++ b/domain/src/main/java/org/hallwall/domain/GroupView.java
@@ -29,19 +29,19 @@
 import org.hallwall.resource.ModelGroupSpec;
 
 /**
- * A group as its members announce it.
+ * A group as announced by its members.
  *
- * @param membership the membership as one member announces it
+ * @param membership the membership with the highest fencing number
  * @param present the members that announce this group, in order of rank
- * @param loaded whether all present members have loaded what they need
+ * @param loaded whether all present members have loaded the model and its adapters
  * @param leaving whether any present member is about to stop
- * @param heardAt when the member heard longest ago was heard
+ * @param heardAt the time of the oldest of the members' latest announcements
  */
 public record GroupView(
         GroupMembership membership, List<KnownTarget> present, boolean loaded, boolean leaving, long heardAt) {
 
     /**
-     * Gives the group's name.
+     * Returns the name of the group.
      *
      * @return the name
      */
@@ -50,29 +50,29 @@
     }
 
     /**
-     * Says whether every member announces the group.
+     * Returns whether every member announces the group.
      *
-     * @return true if none is missing
+     * @return true if no member is missing
      */
     public boolean isIntact() {
         return present.size() == membership.members().size();
     }
 
     /**
-     * Says whether the group can serve.
+     * Returns whether the group can serve.
      *
-     * @param now the clock
-     * @param lease how long an announcement counts
-     * @return true if every member announces the group freshly and has loaded
+     * @param now the current monotonic time in milliseconds
+     * @param lease how long an announcement is valid
+     * @return true if every member has loaded the model and its announcement is still valid
      */
     public boolean isComplete(long now, long lease) {
         return isIntact() && loaded && now - heardAt <= lease;
     }
 
     /**
-     * Gives the member that takes runs.
+     * Returns the member that accepts runs.
      *
-     * @return the first member; null if it is missing
+     * @return the first member; null if it does not announce the group
      */
     public KnownTarget head() {
         KnownTarget first = present.get(0);
@@ -80,7 +80,7 @@
     }
 
     /**
-     * Gives the fabric domain of the group.
+     * Returns the fabric domain of the group.
      *
      * @return the fabric domain of the first present member
      */
@@ -89,19 +89,19 @@
     }
 
     /**
-     * Says whether a target is a member that announces the group.
+     * Returns whether a target is a member that announces the group.
      *
      * @param instance the target
-     * @return true if it is
+     * @return true if so
      */
-    public boolean hasPresent(InstanceId instance) {
+    public boolean isPresent(InstanceId instance) {
         return present.stream().anyMatch(t -> t.instance().equals(instance));
     }
 
     /**
-     * Says whether the group can serve a whole request.
+     * Returns whether the group can serve a request without another group.
      *
-     * @return true if its engines both read prompts and write answers
+     * @return true if its engines perform both prefill and decode
      */
     public boolean servesWhole() {
         String role = present.get(0).announcement().role();
@@ -114,7 +114,7 @@
     }
 
     /**
-     * Says whether the group has loaded an adapter.
+     * Returns whether the group has loaded an adapter.
      *
      * @param adapter the adapter; null for none
      * @return true if every present member announces it
@@ -129,12 +129,12 @@
     }
 
     /**
-     * Says whether the group is what a spec asks for.
+     * Returns whether the group matches a spec.
      *
      * @param spec the spec
      * @return true if the model, the version, the adapters, the role and the size are those of the spec
      */
-    public boolean meets(ModelGroupSpec spec) {
+    public boolean matchesSpec(ModelGroupSpec spec) {
         Announcement a = present.get(0).announcement();
         return membership.members().size() == spec.targetsPerReplica()
                 && spec.model().equals(a.model())
--- a/domain/src/main/java/org/hallwall/domain/GroupViews.java
+++ b/domain/src/main/java/org/hallwall/domain/GroupViews.java
@@ -27,7 +27,7 @@
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.engine.GroupMembership;
 
-/** Derives the groups from what targets announce. */
+/** Derives groups from the announcements of targets. */
 public final class GroupViews {
 
     private GroupViews() {}
@@ -47,12 +47,12 @@
             }
         }
         Map<GroupId, GroupView> out = new TreeMap<>();
-        byGroup.forEach((group, members) -> out.put(group, view(members)));
+        byGroup.forEach((group, members) -> out.put(group, createView(members)));
         return out;
     }
 
-    /** Members that hold different fencing numbers for one group do not count together: the highest number counts. */
-    private static GroupView view(List<KnownTarget> announced) {
+    /** Combines the members that announce the highest fencing number; members with a lower one are ignored. */
+    private static GroupView createView(List<KnownTarget> announced) {
         GroupMembership latest = announced.get(0).announcement().membership();
         for (KnownTarget t : announced) {
             GroupMembership m = t.announcement().membership();
--- a/domain/src/main/java/org/hallwall/domain/IdleTargets.java
+++ b/domain/src/main/java/org/hallwall/domain/IdleTargets.java
@@ -27,7 +27,7 @@
 import org.hallwall.core.id.FabricDomainId;
 import org.hallwall.resource.ModelGroupSpec;
 
-/** The targets that are in no group, by fabric domain. */
+/** The targets that belong to no group, by fabric domain. */
 final class IdleTargets {
 
     private final Map<FabricDomainId, List<KnownTarget>> byFabric = new TreeMap<>();
@@ -45,32 +45,33 @@
         }
     }
 
-    List<KnownTarget> allOf(FabricDomainId fabric) {
+    List<KnownTarget> inFabric(FabricDomainId fabric) {
         return new ArrayList<>(byFabric.getOrDefault(fabric, List.of()));
     }
 
-    /** Picks targets of one fabric domain, those that hold the weights first; null if there are too few. */
-    List<KnownTarget> fromFabric(FabricDomainId fabric, int count, ModelGroupSpec spec) {
-        List<KnownTarget> there = byFabric.getOrDefault(fabric, List.of());
-        if (there.size() < count) {
+    /** Selects targets of one fabric domain, those with the weights loaded first; null if there are too few. */
+    List<KnownTarget> selectFromFabric(FabricDomainId fabric, int count, ModelGroupSpec spec) {
+        List<KnownTarget> available = byFabric.getOrDefault(fabric, List.of());
+        if (available.size() < count) {
             return null;
         }
-        List<KnownTarget> sorted = new ArrayList<>(there);
-        sorted.sort(Comparator.comparing((KnownTarget t) -> !holds(t, spec)).thenComparing(KnownTarget::instance));
+        List<KnownTarget> sorted = new ArrayList<>(available);
+        sorted.sort(
+                Comparator.comparing((KnownTarget t) -> !hasWeights(t, spec)).thenComparing(KnownTarget::instance));
         return new ArrayList<>(sorted.subList(0, count));
     }
 
-    /** Picks the targets of a whole new group; null if no fabric domain has enough. */
-    List<KnownTarget> groupFor(ModelGroupSpec spec) {
-        FabricDomainId fabric = fabricFor(spec);
-        return fabric == null ? null : fromFabric(fabric, spec.targetsPerReplica(), spec);
+    /** Selects the targets of a new group; null if no fabric domain has enough. */
+    List<KnownTarget> selectGroup(ModelGroupSpec spec) {
+        FabricDomainId fabric = selectFabric(spec);
+        return fabric == null ? null : selectFromFabric(fabric, spec.targetsPerReplica(), spec);
     }
 
     /**
-     * Picks the fabric domain that fits most tightly, so that whole free ones stay whole; where the policy holds spares,
-     * one that keeps a spare goes first.
+     * Selects the fabric domain with the fewest targets left over (best fit), to limit fragmentation. If the policy
+     * reserves spares, a domain that keeps a spare is preferred.
      */
-    FabricDomainId fabricFor(ModelGroupSpec spec) {
+    FabricDomainId selectFabric(ModelGroupSpec spec) {
         FabricDomainId best = null;
         int bestCost = Integer.MAX_VALUE;
         for (Map.Entry<FabricDomainId, List<KnownTarget>> e : byFabric.entrySet()) {
@@ -78,8 +79,8 @@
             if (left < 0) {
                 continue;
             }
-            boolean noSpare = left == 0 && spec.repairPolicy().holdsSpares();
-            int cost = noSpare ? Integer.MAX_VALUE - 1 : left;
+            boolean leavesNoSpare = left == 0 && spec.repairPolicy().holdsSpares();
+            int cost = leavesNoSpare ? Integer.MAX_VALUE - 1 : left;
             if (cost < bestCost) {
                 best = e.getKey();
                 bestCost = cost;
@@ -88,7 +89,7 @@
         return best;
     }
 
-    static boolean holds(KnownTarget t, ModelGroupSpec spec) {
+    static boolean hasWeights(KnownTarget t, ModelGroupSpec spec) {
         return spec.model().equals(t.announcement().model())
                 && spec.version().equals(t.announcement().version());
     }
--- a/domain/src/main/java/org/hallwall/domain/KnownTarget.java
+++ b/domain/src/main/java/org/hallwall/domain/KnownTarget.java
@@ -25,12 +25,12 @@
  * A target with its latest announcement.
  *
  * @param announcement the announcement
- * @param heardAt when it was made, by this process's clock
+ * @param heardAt the time of the announcement on the clock of this process
  */
 public record KnownTarget(Announcement announcement, long heardAt) {
 
     /**
-     * Gives the target's name.
+     * Returns the name of the target.
      *
      * @return the name
      */
@@ -39,11 +39,11 @@
     }
 
     /**
-     * Says whether the announcement still counts.
+     * Returns whether the announcement is still valid.
      *
-     * @param now the clock
-     * @param lease how long an announcement counts
-     * @return true if it does
+     * @param now the current monotonic time in milliseconds
+     * @param lease how long an announcement is valid
+     * @return true if so
      */
     public boolean isFresh(long now, long lease) {
         return now - heardAt <= lease;
--- a/domain/src/main/java/org/hallwall/domain/LeaseElector.java
+++ b/domain/src/main/java/org/hallwall/domain/LeaseElector.java
@@ -26,15 +26,15 @@
 import org.hallwall.domain.LeaseMessage.Candidate;
 
 /**
- * Decides about the controller's lease, as one of the processes that grant it.
+ * Elects the holder of the controller lease, both as a candidate and as one of the processes that grant the lease.
  *
- * <p>A lease is held while a majority of the processes has granted it. Nothing is stored: a process that has started
- * grants nothing for one full lease, so that it cannot contradict a grant that it has forgotten. Reads no clock and
- * does no I/O. It is not safe for use by several threads.
+ * <p>A process holds the lease while a majority has granted it. Grants are not persisted: after a start, a process
+ * grants nothing for one lease duration, so that it cannot contradict a grant made before the restart. This class reads
+ * no clock, performs no I/O and is not thread-safe.
  */
 public final class LeaseElector {
 
-    private static final int RENEWALS_A_LEASE = 4;
+    private static final int RENEWALS_PER_LEASE = 4;
 
     private final Candidate self;
     private final int quorum;
@@ -50,7 +50,7 @@
 
     private long term;
     private long round;
-    private long roundAt;
+    private long roundStartedAt;
     private long heldUntil = Long.MIN_VALUE;
     private long nextRoundAt;
 
@@ -58,10 +58,10 @@
      * Creates the elector.
      *
      * @param self this process
-     * @param members how many processes grant the lease, this one included
+     * @param members the number of processes that grant the lease, including this one
      * @param timing the time limits
      * @param random the source of random delays
-     * @param now the clock
+     * @param now the current monotonic time in milliseconds
      */
     public LeaseElector(InstanceId self, int members, DomainTiming timing, RandomGenerator random, long now) {
         this.self = new Candidate(self, random.nextLong());
@@ -73,58 +73,58 @@
     }
 
     /**
-     * Lets time pass.
+     * Requests, renews or abandons the lease when due.
      *
-     * @param now the clock
-     * @return the message to send to all others; null if there is none
+     * @param now the current monotonic time in milliseconds
+     * @return the message to send to all other processes; null if there is none
      */
     public LeaseMessage tick(long now) {
         if (now < nextRoundAt) {
             return null;
         }
-        if (holds(now)) {
-            // A candidate that cannot win may have raised the term; a holder that kept to its own would lose the lease.
-            return ask(now, Math.max(term, highestTerm));
+        if (holdsLease(now)) {
+            // Another candidate may have raised the term; renewal requests with a lower term would be rejected.
+            return requestLease(now, Math.max(term, highestTerm));
         }
         if (isGranted(now) && !grantedTo.equals(self)) {
             nextRoundAt = grantedUntil + jitter();
             return null;
         }
         if (isGranted(now)) {
-            // Asked and not won: candidates that hold on to their own grants would block each other for ever.
-            return giveUp(now);
+            // The request did not reach a quorum; candidates that kept their own grants would block each other.
+            return abandonRound(now);
         }
-        return ask(now, highestTerm + 1);
+        return requestLease(now, highestTerm + 1);
     }
 
-    private LeaseMessage ask(long now, long askedTerm) {
-        term = askedTerm;
+    private LeaseMessage requestLease(long now, long requestedTerm) {
+        term = requestedTerm;
         round++;
-        roundAt = now;
-        nextRoundAt = now + timing.controllerLease() / RENEWALS_A_LEASE;
+        roundStartedAt = now;
+        nextRoundAt = now + timing.controllerLease() / RENEWALS_PER_LEASE;
         grants.clear();
         LeaseMessage.Request request = new LeaseMessage.Request(self, term, round);
-        receive(now, answer(now, request));
+        handleReply(now, handleRequest(now, request));
         return request;
     }
 
-    private LeaseMessage giveUp(long now) {
-        long askedRound = round;
+    private LeaseMessage abandonRound(long now) {
+        long requestedRound = round;
         round++;
         grants.clear();
         grantedUntil = Long.MIN_VALUE;
         nextRoundAt = now + jitter();
-        return new LeaseMessage.Release(self, askedRound);
+        return new LeaseMessage.Release(self, requestedRound);
     }
 
     /**
-     * Answers the request of a candidate.
+     * Handles the request of a candidate.
      *
-     * @param now the clock
+     * @param now the current monotonic time in milliseconds
      * @param request the request
-     * @return the answer
+     * @return the reply
      */
-    public LeaseMessage.Reply answer(long now, LeaseMessage.Request request) {
+    public LeaseMessage.Reply handleRequest(long now, LeaseMessage.Request request) {
         boolean justStarted = now - startedAt < timing.controllerLease();
         boolean heldByOther = isGranted(now) && !grantedTo.equals(request.candidate());
         boolean granted = !justStarted && !heldByOther && request.term() >= highestTerm;
@@ -138,64 +138,64 @@
     }
 
     /**
-     * Takes an answer to this process's own request.
+     * Handles the reply to a request of this process.
      *
-     * @param now the clock
-     * @param reply the answer
+     * @param now the current monotonic time in milliseconds
+     * @param reply the reply
      */
-    public void receive(long now, LeaseMessage.Reply reply) {
+    public void handleReply(long now, LeaseMessage.Reply reply) {
         highestTerm = Math.max(highestTerm, reply.term());
         if (!self.equals(reply.candidate()) || reply.round() != round || !reply.granted()) {
             return;
         }
         grants.add(reply.from());
         if (grants.size() >= quorum) {
-            heldUntil = Math.max(heldUntil, roundAt + timing.trustedLease());
+            heldUntil = Math.max(heldUntil, roundStartedAt + timing.safeLeaseDuration());
         }
     }
 
     /**
-     * Takes the release of a lease.
+     * Handles the release of a lease by its holder.
      *
      * @param release the release
      */
-    public void receive(LeaseMessage.Release release) {
+    public void handleRelease(LeaseMessage.Release release) {
         if (release.holder().equals(grantedTo) && release.round() >= grantedRound) {
             grantedUntil = Long.MIN_VALUE;
         }
     }
 
     /**
-     * Gives the lease back.
+     * Releases the lease.
      *
-     * @param now the clock
-     * @return the release to send to all others; null if the lease is not held
+     * @param now the current monotonic time in milliseconds
+     * @return the release to send to all other processes; null if the lease is not held
      */
     public LeaseMessage.Release release(long now) {
-        if (!holds(now)) {
+        if (!holdsLease(now)) {
             return null;
         }
-        long askedRound = round;
+        long requestedRound = round;
         round++;
         grants.clear();
         heldUntil = Long.MIN_VALUE;
         grantedUntil = Long.MIN_VALUE;
         nextRoundAt = now + timing.controllerLease();
-        return new LeaseMessage.Release(self, askedRound);
+        return new LeaseMessage.Release(self, requestedRound);
     }
 
     /**
-     * Says whether this process holds the lease.
+     * Returns whether this process holds the lease.
      *
-     * @param now the clock
-     * @return true if it does
+     * @param now the current monotonic time in milliseconds
+     * @return true if so
      */
-    public boolean holds(long now) {
+    public boolean holdsLease(long now) {
         return now < heldUntil;
     }
 
     /**
-     * Gives the term of the lease that this process holds or last asked for.
+     * Returns the term of the lease that this process holds or last requested.
      *
      * @return the term
      */
@@ -204,12 +204,12 @@
     }
 
     /**
-     * Gives the process to which this one has granted the lease.
+     * Returns the process to which this one has granted the lease.
      *
-     * @param now the clock
-     * @return the process; null if no grant is in force
+     * @param now the current monotonic time in milliseconds
+     * @return the process; null if no grant is valid
      */
-    public InstanceId holder(long now) {
+    public InstanceId grantee(long now) {
         return isGranted(now) ? grantedTo.instance() : null;
     }
 
@@ -218,6 +218,6 @@
     }
 
     private long jitter() {
-        return random.nextLong(timing.controllerLease() / RENEWALS_A_LEASE);
+        return random.nextLong(timing.controllerLease() / RENEWALS_PER_LEASE);
     }
 }
--- a/domain/src/main/java/org/hallwall/domain/LeaseMessage.java
+++ b/domain/src/main/java/org/hallwall/domain/LeaseMessage.java
@@ -21,44 +21,44 @@
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.wire.PeerMessage;
 
-/** A message about the controller's lease. */
+/** A message of the election of the domain controller. */
 public sealed interface LeaseMessage extends PeerMessage {
 
     /**
-     * A process that asks for the lease. After a restart it is another candidate, so that late messages of its earlier
-     * life cannot speak for it.
+     * A process that requests the lease. A restarted process is a different candidate, so that delayed messages from
+     * before the restart do not apply to it.
      *
      * @param instance the process
-     * @param boot a random number made when the process started
+     * @param boot a random number generated at process start
      */
     record Candidate(InstanceId instance, long boot) {}
 
     /**
-     * Asks for the lease, or to renew it.
+     * Requests the lease or its renewal.
      *
-     * @param candidate who asks
-     * @param term the term; a new holder takes a higher one than any it knows
-     * @param round numbers the rounds of the candidate
+     * @param candidate the sender
+     * @param term the term; a new candidate uses a term above the highest one it has observed
+     * @param round the number of the candidate's request
      */
     record Request(Candidate candidate, long term, long round) implements LeaseMessage {}
 
     /**
-     * Answers a request.
+     * Replies to a request.
      *
-     * @param from who answers
-     * @param candidate who asked
+     * @param from the sender of the reply
+     * @param candidate the candidate that sent the request
      * @param granted whether the lease is granted
-     * @param term the highest term that the answerer knows
-     * @param round the round asked in
+     * @param term the highest term observed by the sender
+     * @param round the round of the request
      */
     record Reply(InstanceId from, Candidate candidate, boolean granted, long term, long round)
             implements LeaseMessage {}
 
     /**
-     * Gives the lease back, or gives up the wish for it.
+     * Releases the lease or abandons a request for it.
      *
-     * @param holder who gives it back
-     * @param round the last round that it asked in; a grant for a later round stays
+     * @param holder the sender
+     * @param round the last round of the sender; grants of later rounds stay valid
      */
     record Release(Candidate holder, long round) implements LeaseMessage {}
 }
--- a/domain/src/main/java/org/hallwall/domain/TargetDirectory.java
+++ b/domain/src/main/java/org/hallwall/domain/TargetDirectory.java
@@ -30,82 +30,83 @@
 import org.hallwall.engine.TargetLoad;
 import org.jboss.logging.Logger;
 
-/** The targets of the failure domain, as they announce themselves. Safe for use by several threads. */
+/** Holds the latest announcement of each target of the failure domain. Thread-safe. */
 public final class TargetDirectory {
 
     private static final Logger LOG = Logger.getLogger(TargetDirectory.class);
-    private static final long FORGET_MILLIS = 60_000;
-    private static final long PAUSE_MILLIS = 1_000;
-    private static final long SETTLE_MILLIS = 500;
+    private static final long RETENTION_MILLIS = 60_000;
+    private static final long PAUSE_THRESHOLD_MILLIS = 1_000;
+    private static final long RESUME_DELAY_MILLIS = 500;
 
     private final Ticker ticker;
     private final Map<InstanceId, KnownTarget> targets = new ConcurrentHashMap<>();
     private final AtomicLong taken = new AtomicLong();
     private final AtomicLong stale = new AtomicLong();
-    private volatile long beatAt;
-    private volatile long resetAt;
+    private volatile long lastBeatAt;
+    private volatile long receivingFrom;
     private volatile long ignoreUntil;
 
     /**
      * Creates an empty directory.
      *
-     * @param ticker the clock
+     * @param ticker the monotonic clock
      */
     public TargetDirectory(Ticker ticker) {
         this.ticker = ticker;
-        this.beatAt = ticker.millis();
-        this.resetAt = beatAt;
+        this.lastBeatAt = ticker.millis();
+        this.receivingFrom = lastBeatAt;
     }
 
     /**
-     * Notes that this process runs; to be called several times a second. After a pause of the process all that is known
-     * is dropped, and what comes in at first too: it may have waited in buffers and be older than it says.
+     * Detects pauses of this process; must be called several times a second. After a pause, all announcements are
+     * discarded, and so are those received during a short delay: they may have been buffered during the pause and be
+     * older than their stated age.
      */
     public void beat() {
         long now = ticker.millis();
-        if (now - beatAt > PAUSE_MILLIS) {
-            LOG.infof("domain: this process stood still for %d ms and listens anew", now - beatAt);
-            ignoreUntil = now + SETTLE_MILLIS;
-            resetAt = ignoreUntil;
+        if (now - lastBeatAt > PAUSE_THRESHOLD_MILLIS) {
+            LOG.infof("domain: this process was paused for %d ms, discarding all announcements", now - lastBeatAt);
+            ignoreUntil = now + RESUME_DELAY_MILLIS;
+            receivingFrom = ignoreUntil;
             targets.clear();
         }
-        beatAt = now;
+        lastBeatAt = now;
     }
 
     /**
-     * Says since when announcements are taken without a break.
+     * Returns the time since which announcements have been received without interruption.
      *
-     * @return the clock at the start of this process or after its last pause
+     * @return the monotonic time of the process start or of the end of its last pause
      */
     public long listeningSince() {
-        return resetAt;
+        return receivingFrom;
     }
 
     /**
-     * Takes an announcement.
+     * Stores an announcement if it is newer than the known one.
      *
      * @param a the announcement
-     * @param ageMillis how long ago it was made
-     * @return false if a later one is known already, or if this process has just stood still
+     * @param ageMillis the age of the announcement
+     * @return false if a newer one is known, or if this process was paused just before
      */
     public boolean take(Announcement a, long ageMillis) {
         long now = ticker.millis();
-        if (now < ignoreUntil || now - beatAt > PAUSE_MILLIS) {
+        if (now < ignoreUntil || now - lastBeatAt > PAUSE_THRESHOLD_MILLIS) {
             stale.incrementAndGet();
             return false;
         }
         KnownTarget fresh = new KnownTarget(a, now - ageMillis);
-        KnownTarget kept = targets.merge(a.instance(), fresh, TargetDirectory::later);
+        KnownTarget kept = targets.merge(a.instance(), fresh, TargetDirectory::newer);
         boolean isNew = kept == fresh;
         (isNew ? taken : stale).incrementAndGet();
         return isNew;
     }
 
     /**
-     * Takes an announcement that repeats an earlier one.
+     * Updates the sequence and the load of a known announcement.
      *
-     * @param r what is new
-     * @return false if the earlier one is not known here; the whole one will come
+     * @param r the update
+     * @return false if the announcement it refers to is unknown; a full announcement follows later
      */
     public boolean take(DomainMessage.Repeat r) {
         KnownTarget known = targets.get(r.instance());
@@ -119,45 +120,45 @@
     }
 
     /**
-     * Lists the targets heard in the last minute.
+     * Returns the targets that announced themselves in the last minute.
      *
      * @return the targets
      */
     public List<KnownTarget> list() {
         long now = ticker.millis();
-        targets.values().removeIf(t -> now - t.heardAt() > FORGET_MILLIS);
+        targets.values().removeIf(t -> now - t.heardAt() > RETENTION_MILLIS);
         return new ArrayList<>(targets.values());
     }
 
     /**
-     * Finds a target.
+     * Returns a target by name.
      *
-     * @param instance its name
-     * @return the target; null if it is not known
+     * @param instance the name
+     * @return the target; null if unknown
      */
     public KnownTarget get(InstanceId instance) {
         return targets.get(instance);
     }
 
     /**
-     * Counts the announcements taken since the start.
+     * Returns the number of announcements accepted since the start.
      *
-     * @return how many
+     * @return the count
      */
     public long taken() {
         return taken.get();
     }
 
     /**
-     * Counts the announcements dropped because a later one was known.
+     * Returns the number of announcements dropped since the start: outdated, without a known base, or after a pause.
      *
-     * @return how many
+     * @return the count
      */
     public long stale() {
         return stale.get();
     }
 
-    private static KnownTarget later(KnownTarget old, KnownTarget fresh) {
+    private static KnownTarget newer(KnownTarget old, KnownTarget fresh) {
         boolean sameBoot = old.announcement().boot().equals(fresh.announcement().boot());
         if (sameBoot) {
             return fresh.announcement().sequence() > old.announcement().sequence() ? fresh : old;
--- a/domain/src/main/java/org/hallwall/domain/WantedGroup.java
+++ b/domain/src/main/java/org/hallwall/domain/WantedGroup.java
@@ -22,11 +22,11 @@
 import org.hallwall.resource.ModelGroupSpec;
 
 /**
- * What is wanted of one model group in this failure domain.
+ * The desired state of one model group in this failure domain.
  *
  * @param modelGroup the model group
  * @param generation the generation of its declaration
- * @param spec the declaration
- * @param share how many replicas this failure domain is to have
+ * @param spec the declared spec
+ * @param share the number of replicas assigned to this failure domain
  */
 public record WantedGroup(ModelGroupId modelGroup, long generation, ModelGroupSpec spec, int share) {}
--- a/domain/src/main/java/org/hallwall/domain/package-info.java
+++ b/domain/src/main/java/org/hallwall/domain/package-info.java
@@ -17,10 +17,10 @@
  * under the License.
  */
 /**
- * One failure domain: its targets, its groups and its controller.
+ * Management of one failure domain: its targets, its groups and its controller.
  *
- * <p>{@link org.hallwall.domain.TargetDirectory} holds what targets announce; {@link org.hallwall.domain.LeaseElector}
- * elects the controller; {@link org.hallwall.domain.GroupPlanner} decides; {@link org.hallwall.domain.DomainController}
- * carries the decisions out.
+ * <p>{@link org.hallwall.domain.TargetDirectory} holds the announcements of targets;
+ * {@link org.hallwall.domain.LeaseElector} elects the controller; {@link org.hallwall.domain.GroupPlanner} plans
+ * changes of groups; {@link org.hallwall.domain.DomainController} carries them out.
  */
 package org.hallwall.domain;
--- a/domain/src/test/java/org/hallwall/domain/GroupPlannerTest.java
+++ b/domain/src/test/java/org/hallwall/domain/GroupPlannerTest.java
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void replacesOnlyTheLostMember() {
+    void replacesOnlyLostMember() {
         member("a1", "fa", "menu:7", 0, "a1", "a2");
         member("a2", "fa", "menu:7", 60_000, "a1", "a2");
         idle("a3", "fa");
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void waitsWhileMemberIsOnlyPaused() {
+    void waitsWhileMemberIsBrieflySilent() {
         member("a1", "fa", "menu:7", 0, "a1", "a2");
         member("a2", "fa", "menu:7", 3_000, "a1", "a2");
         idle("a3", "fa");
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void baselineRebuildsWholeGroup() {
+    void rebuildPolicyDissolvesIncompleteGroup() {
         member("a1", "fa", "menu:7", 0, "a1", "a2");
         member("a2", "fa", "menu:7", 60_000, "a1", "a2");
         idle("a3", "fa");
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void secondLossJoinsTheSameRepair() {
+    void replacesSeveralLostMembersInOneStep() {
         member("a1", "fa", "menu:7", 0, "a1", "a2", "a3");
         member("a2", "fa", "menu:7", 60_000, "a1", "a2", "a3");
         member("a3", "fa", "menu:7", 60_000, "a1", "a2", "a3");
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void survivorsWaitInPlaceOrAreFreedByPolicy() {
+    void keepsOrReleasesSurvivorsByPolicy() {
         member("a1", "fa", "menu:7", 0, "a1", "a2");
         member("a2", "fa", "menu:7", 60_000, "a1", "a2");
         assertEquals(List.of(), plan(wanted(2, 1, RepairPolicy.GROUP_DOWNTIME), Set.of()));
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void groupJustOrderedIsNotBroken() {
+    void doesNotRepairGroupWithPendingOrders() {
         member("a1", "fa", "menu:9", 0, "a1", "a2");
         idle("a2", "fa");
         idle("a3", "fa");
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void drainsBeforeItTakesServingGroupApart() {
+    void drainsServingGroupBeforeDissolving() {
         member("a1", "fa", "menu:7", 0, "a1", "a2");
         member("a2", "fa", "menu:7", 0, "a1", "a2");
         assertEquals(List.of("drain menu:7"), plan(wanted(2, 0, RepairPolicy.GROUP_DOWNTIME), Set.of()));
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void changesVersionGroupByGroup() {
+    void updatesVersionOneGroupAtATime() {
         member("a1", "fa", "menu:7", 0, "a1");
         member("a2", "fa", "menu:8", 0, "a2");
         WantedGroup newer = new WantedGroup(
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void boundsLoadsOfWeights() {
+    void limitsConcurrentWeightLoads() {
         idle("a1", "fa");
         idle("a2", "fa");
         idle("b1", "fb");
@@ -156,7 +156,7 @@
         WantedGroup w = wanted(2, 2, RepairPolicy.GROUP_DOWNTIME);
         assertEquals(1, planner.plan(input(w, Set.of(), 2)).size());
         assertEquals(2, planner.plan(input(w, Set.of(), 4)).size());
-        assertTrue(planner.plan(input(w, Set.of(), 1)).size() <= 1, "a group larger than the bound forms alone");
+        assertTrue(planner.plan(input(w, Set.of(), 1)).size() <= 1, "a group larger than the limit forms alone");
     }
 
     private List<String> plan(WantedGroup wanted, Set<GroupId> drained) {
--- a/domain/src/test/java/org/hallwall/domain/GroupViewsTest.java
+++ b/domain/src/test/java/org/hallwall/domain/GroupViewsTest.java
@@ -47,11 +47,11 @@
     private final List<KnownTarget> targets = new ArrayList<>();
 
     @Test
-    void completeOnlyWhenAllAnnounceItFreshlyAndHaveLoaded() {
+    void isCompleteOnlyIfAllMembersAnnounceItAndHaveLoaded() {
         add("a", 1, true, "BOTH", NOW);
         assertFalse(view().isComplete(NOW, LEASE), "a member is missing");
         add("b", 1, true, "BOTH", NOW - LEASE - 1);
-        assertFalse(view().isComplete(NOW, LEASE), "a member is silent");
+        assertFalse(view().isComplete(NOW, LEASE), "the announcement of a member has expired");
         targets.remove(1);
         add("b", 1, false, "BOTH", NOW);
         assertFalse(view().isComplete(NOW, LEASE), "a member has not loaded");
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void membersWithAnOldFencingNumberDoNotCount() {
+    void ignoresMembersWithOutdatedFencingNumber() {
         add("a", 2, true, "BOTH", NOW);
         add("b", 1, true, "BOTH", NOW);
         assertFalse(view().isComplete(NOW, LEASE));
@@ -70,13 +70,13 @@
 
     @ParameterizedTest
     @CsvSource({"BOTH, true", "PREFILL, false", "DECODE, false", "other, false"})
-    void onlyWholeEnginesServeWhole(String role, boolean serves) {
+    void onlyRoleBothServesFullRequests(String role, boolean serves) {
         add("a", 1, true, role, NOW);
         assertEquals(serves, view().servesWhole());
     }
 
     @Test
-    void hasAnAdapterOnlyIfAllMembersDo() {
+    void hasAdapterOnlyIfAllMembersDo() {
         add("a", 1, true, "BOTH", NOW);
         add("b", 1, true, "BOTH", NOW);
         assertTrue(view().hasAdapter("x"));
--- a/domain/src/test/java/org/hallwall/domain/LeaseElectorPropertyTest.java
+++ b/domain/src/test/java/org/hallwall/domain/LeaseElectorPropertyTest.java
@@ -34,42 +34,42 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Drives electors through lost and late messages, restarts and freezes; a failing seed is printed. */
+/** Checks that at most one process holds the lease despite lost and delayed messages, restarts and process pauses. */
 class LeaseElectorPropertyTest {
 
     private static final DomainTiming TIMING = DomainTiming.DEFAULT;
     private static final int STEP_MILLIS = 50;
     private static final int STEPS = 2_400;
-    private static final int CALM_MILLIS = 5_000;
+    private static final int FAULT_FREE_MILLIS = 5_000;
 
     @Property(tries = 8000, shrinking = ShrinkingMode.OFF)
     void neverTwoHolders(@ForAll @LongRange(min = 0, max = 1_000_000_000) long seed) {
-        new Schedule(seed, 3).run();
+        new Simulation(seed, 3).run();
     }
 
     @Property(tries = 800, seed = "20261202", shrinking = ShrinkingMode.OFF)
     void neverTwoHoldersOfFive(@ForAll @LongRange(min = 0, max = 1_000_000_000) long seed) {
-        new Schedule(seed, 5).run();
+        new Simulation(seed, 5).run();
     }
 
-    /** Schedules that failed once: a holder kept to an old term; a late message of an earlier life gave a lease back. */
+    /** Seeds that revealed a renewal with an outdated term and a delayed release from before a restart. */
     @ParameterizedTest
     @ValueSource(longs = {509, 12_374, 2_599_489})
-    void failedOnce(long seed) {
-        new Schedule(seed, 3).run();
-        new Schedule(seed, 5).run();
+    void regressionSeeds(long seed) {
+        new Simulation(seed, 3).run();
+        new Simulation(seed, 5).run();
     }
 
-    /** One schedule. */
-    private static final class Schedule {
+    /** A simulation of one random schedule. */
+    private static final class Simulation {
 
         private final Random random;
         private final List<Process> processes = new ArrayList<>();
-        private final PriorityQueue<Flight> network = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+        private final PriorityQueue<PendingMessage> network = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
         private long now;
-        private boolean calm;
+        private boolean faultFree;
 
-        Schedule(long seed, int size) {
+        Simulation(long seed, int size) {
             random = new Random(seed);
             for (int i = 0; i < size; i++) {
                 Process p = new Process(new InstanceId("e" + i), 0.98 + random.nextDouble() * 0.04, size);
@@ -80,63 +80,63 @@
 
         void run() {
             for (int i = 0; i < STEPS; i++) {
-                disturb();
+                injectFault();
                 step();
             }
-            calm = true;
-            wakeAll();
-            for (int i = 0; i < CALM_MILLIS / STEP_MILLIS; i++) {
+            faultFree = true;
+            resumeAll();
+            for (int i = 0; i < FAULT_FREE_MILLIS / STEP_MILLIS; i++) {
                 step();
             }
-            assertEquals(1, holders(), "one process holds the lease within five seconds of calm");
+            assertEquals(1, holders(), "one process holds the lease after five seconds without faults");
         }
 
-        /** What was held back for a frozen process reaches it at once. */
-        private void wakeAll() {
-            processes.forEach(p -> p.frozenUntil = 0);
-            List<Flight> held = new ArrayList<>(network);
+        /** Resumes paused processes and delivers all pending messages immediately. */
+        private void resumeAll() {
+            processes.forEach(p -> p.pausedUntil = 0);
+            List<PendingMessage> undelivered = new ArrayList<>(network);
             network.clear();
-            for (Flight f : held) {
-                network.add(new Flight(now, f.to, f.message));
+            for (PendingMessage pending : undelivered) {
+                network.add(new PendingMessage(now, pending.to, pending.message));
             }
         }
 
-        private void disturb() {
+        private void injectFault() {
             Process p = processes.get(random.nextInt(processes.size()));
-            int dice = random.nextInt(100);
-            if (dice == 0) {
+            int fault = random.nextInt(100);
+            if (fault == 0) {
                 p.start();
-            } else if (dice == 1) {
-                p.frozenUntil = now + random.nextInt(8_000);
+            } else if (fault == 1) {
+                p.pausedUntil = now + random.nextInt(8_000);
             }
         }
 
         private void step() {
             now += STEP_MILLIS;
             while (!network.isEmpty() && network.peek().at <= now) {
-                Flight f = network.poll();
-                if (f.to.frozenUntil > now) {
-                    network.add(new Flight(f.to.frozenUntil, f.to, f.message));
+                PendingMessage pending = network.poll();
+                if (pending.to.pausedUntil > now) {
+                    network.add(new PendingMessage(pending.to.pausedUntil, pending.to, pending.message));
                 } else {
-                    deliver(f);
+                    deliver(pending);
                 }
             }
             for (Process p : processes) {
-                if (p.frozenUntil <= now) {
+                if (p.pausedUntil <= now) {
                     broadcast(p, p.elector.tick(p.clock(now)));
                 }
             }
             assertTrue(holders() <= 1, "two processes hold the lease at " + now);
         }
 
-        private void deliver(Flight f) {
-            long clock = f.to.clock(now);
-            if (f.message instanceof LeaseMessage.Request m) {
-                send(find(m.candidate().instance()), f.to.elector.answer(clock, m));
-            } else if (f.message instanceof LeaseMessage.Reply m) {
-                f.to.elector.receive(clock, m);
-            } else if (f.message instanceof LeaseMessage.Release m) {
-                f.to.elector.receive(m);
+        private void deliver(PendingMessage pending) {
+            long clock = pending.to.clock(now);
+            if (pending.message instanceof LeaseMessage.Request m) {
+                send(find(m.candidate().instance()), pending.to.elector.handleRequest(clock, m));
+            } else if (pending.message instanceof LeaseMessage.Reply m) {
+                pending.to.elector.handleReply(clock, m);
+            } else if (pending.message instanceof LeaseMessage.Release m) {
+                pending.to.elector.handleRelease(m);
             }
         }
 
@@ -158,28 +158,28 @@
         }
 
         private void send(Process to, LeaseMessage message) {
-            if (calm || random.nextInt(10) > 0) {
-                network.add(new Flight(now + 1 + random.nextInt(calm ? 10 : 400), to, message));
+            if (faultFree || random.nextInt(10) > 0) {
+                network.add(new PendingMessage(now + 1 + random.nextInt(faultFree ? 10 : 400), to, message));
             }
         }
 
-        /** A frozen process cannot act, but it would the moment it goes on; so it counts as well. */
+        /** Counts the holders, including paused ones: they would act as holders as soon as they resume. */
         private int holders() {
             int n = 0;
             for (Process p : processes) {
-                n += p.elector.holds(p.clock(now)) ? 1 : 0;
+                n += p.elector.holdsLease(p.clock(now)) ? 1 : 0;
             }
             return n;
         }
 
-        /** A process whose clock runs a little fast or slow. */
+        /** A process whose clock drifts by up to two percent. */
         private final class Process {
 
             private final InstanceId id;
             private final double rate;
             private final int size;
             private LeaseElector elector;
-            private long frozenUntil;
+            private long pausedUntil;
 
             Process(InstanceId id, double rate, int size) {
                 this.id = id;
@@ -196,6 +196,6 @@
             }
         }
 
-        private record Flight(long at, Process to, LeaseMessage message) {}
+        private record PendingMessage(long at, Process to, LeaseMessage message) {}
     }
 }
--- a/domain/src/test/java/org/hallwall/domain/TargetDirectoryTest.java
+++ b/domain/src/test/java/org/hallwall/domain/TargetDirectoryTest.java
@@ -36,25 +36,25 @@
     private final TargetDirectory directory = new TargetDirectory(now::get);
 
     @Test
-    void keepsTheLatestOfOneBoot() {
+    void keepsLatestSequenceOfOneBoot() {
         assertTrue(directory.take(announcement("b1", 2), 0));
         assertFalse(directory.take(announcement("b1", 1), 0));
         assertEquals(1, directory.stale());
     }
 
     @Test
-    void restartedTargetCountsByItsAge() {
+    void ordersAnnouncementsOfDifferentBootsByAge() {
         directory.take(announcement("b1", 9), 0);
-        assertFalse(directory.take(announcement("b0", 50), 5_000), "an older boot that was relayed late");
+        assertFalse(directory.take(announcement("b0", 50), 5_000), "an older boot relayed late");
         assertTrue(directory.take(announcement("b2", 1), 0));
     }
 
-    /** Found by a frozen entry that took what had waited in its buffers for fresh. */
+    /** Guards against treating announcements buffered during a process pause as fresh. */
     @Test
-    void dropsWhatWaitedWhileTheProcessStoodStill() {
+    void dropsAnnouncementsBufferedDuringPause() {
         directory.take(announcement("b1", 1), 0);
         now.addAndGet(8_000);
-        assertFalse(directory.take(announcement("b1", 2), 0), "before the pause is noticed");
+        assertFalse(directory.take(announcement("b1", 2), 0), "before the pause is detected");
         directory.beat();
         assertEquals(0, directory.list().size());
         assertFalse(directory.take(announcement("b1", 3), 0), "right after the pause");
