--- a/control/src/main/java/org/hallwall/control/ChangeFeed.java
+++ b/control/src/main/java/org/hallwall/control/ChangeFeed.java
@@ -27,13 +27,13 @@
 import reactor.core.publisher.Sinks;
 import reactor.core.scheduler.Schedulers;
 
-/** Lets watchers wait for changes of the declarations. */
+/** Notifies watchers of changes of the declarations. */
 public final class ChangeFeed {
 
-    private static final Duration BOOKMARK_EVERY = Duration.ofSeconds(1);
+    private static final Duration BOOKMARK_INTERVAL = Duration.ofSeconds(1);
 
     private final DeclarationMachine machine;
-    private final Sinks.Many<Long> signal = Sinks.many().multicast().directBestEffort();
+    private final Sinks.Many<Long> changeSignal = Sinks.many().multicast().directBestEffort();
 
     /**
      * Creates the feed.
@@ -42,18 +42,18 @@
      */
     public ChangeFeed(DeclarationMachine machine) {
         this.machine = machine;
-        machine.onChange(() -> signal.tryEmitNext(0L));
+        machine.onChange(() -> changeSignal.tryEmitNext(0L));
     }
 
     /**
      * Waits for changes after a version.
      *
      * @param after the version
-     * @param wait how long to wait
-     * @return the changes; empty ones if there are none in that time
+     * @param wait the maximum time to wait
+     * @return the changes; without events if none occur within that time
      */
-    public Mono<Changes> next(long after, Duration wait) {
-        return wakeUps(wait)
+    public Mono<Changes> awaitChanges(long after, Duration wait) {
+        return triggers(wait)
                 .<Changes>handle((x, sink) -> {
                     Changes c = machine.changesAfter(after);
                     if (c != null) {
@@ -61,27 +61,28 @@
                     }
                 })
                 .next()
-                .timeout(wait, Mono.fromSupplier(this::nothing));
+                .timeout(wait, Mono.fromSupplier(this::emptyChanges));
     }
 
     /**
-     * Follows the changes after a version without end, with a bookmark each second.
+     * Streams the changes after a version indefinitely, with a bookmark for each second without changes.
      *
      * @param after the version
-     * @return the changes; those without events are bookmarks
+     * @return the changes; an element without events is a bookmark
      */
-    public Flux<Changes> follow(long after) {
+    public Flux<Changes> streamChanges(long after) {
         long[] last = {after};
-        return Flux.defer(() -> next(last[0], BOOKMARK_EVERY))
+        return Flux.defer(() -> awaitChanges(last[0], BOOKMARK_INTERVAL))
                 .doOnNext(c -> last[0] = Math.max(last[0], c.version()))
                 .repeat();
     }
 
-    private Flux<Long> wakeUps(Duration wait) {
-        return Flux.merge(signal.asFlux().onBackpressureLatest().publishOn(Schedulers.parallel(), 1), Flux.just(0L));
+    private Flux<Long> triggers(Duration wait) {
+        return Flux.merge(
+                changeSignal.asFlux().onBackpressureLatest().publishOn(Schedulers.parallel(), 1), Flux.just(0L));
     }
 
-    private Changes nothing() {
+    private Changes emptyChanges() {
         return new Changes(machine.applied(), false, List.of());
     }
 }
--- a/control/src/main/java/org/hallwall/control/CommandRouter.java
+++ b/control/src/main/java/org/hallwall/control/CommandRouter.java
@@ -38,12 +38,12 @@
 import org.hallwall.wire.PeerLink;
 import reactor.core.publisher.Mono;
 
-/** Takes commands and reads to the leader, be it this voter or another. */
+/** Routes commands and linearizable reads to the leader of the replicated log, which may be this voter. */
 public final class CommandRouter {
 
     private static final Duration TIMEOUT = Duration.ofSeconds(4);
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
-    private static final Duration READ_POLL = Duration.ofMillis(10);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
+    private static final Duration APPLY_POLL_INTERVAL = Duration.ofMillis(10);
 
     private final InstanceId self;
     private final LogVoter voter;
@@ -53,9 +53,9 @@
     /**
      * Creates the router.
      *
-     * @param self this voter's name
+     * @param self the name of this voter
      * @param voter this voter
-     * @param machine the declarations
+     * @param machine the replicated declarations
      * @param links the links to the other voters
      */
     public CommandRouter(InstanceId self, LogVoter voter, DeclarationMachine machine, Map<InstanceId, PeerLink> links) {
@@ -69,32 +69,32 @@
      * Submits a command.
      *
      * @param command the command
-     * @return its outcome, or a {@link RefusalException} whose verdict says whether it may be in force
+     * @return its outcome, or a {@link RefusalException} whose verdict states whether the command may have been applied
      */
     public Mono<DeclarationOutcome> submit(DeclarationCommand command) {
         byte[] bytes = DeclarationCodec.write(command);
-        return Mono.defer(() -> atLeader(bytes)).timeout(TIMEOUT).onErrorMap(CommandRouter::refusal);
+        return Mono.defer(() -> submitToLeader(bytes)).timeout(TIMEOUT).onErrorMap(CommandRouter::toRefusal);
     }
 
     /**
-     * Waits until this voter has applied every change accepted before the call.
+     * Waits until this voter has applied every change committed before the call, so that a local read is linearizable.
      *
-     * @return the end of the wait, or a {@link RefusalException} if no leader with a quorum answers
+     * @return completion, or a {@link RefusalException} if no leader with a quorum responds
      */
-    public Mono<Void> awaitFresh() {
-        return Mono.defer(this::readIndex)
+    public Mono<Void> awaitReadIndex() {
+        return Mono.defer(this::requestReadIndex)
                 .flatMap(this::awaitApplied)
                 .timeout(TIMEOUT)
-                .onErrorMap(e -> noQuorum(Verdict.NOT_RUN, "no leader with a quorum answers"));
+                .onErrorMap(e -> noQuorum(Verdict.NOT_RUN, "no leader with a quorum responded"));
     }
 
     /**
-     * Handles a command that another voter hands over.
+     * Handles a command forwarded by another voter.
      *
      * @param command the command
-     * @return the answer
+     * @return the reply
      */
-    public Mono<CommandReply> handle(Command command) {
+    public Mono<CommandReply> handleCommand(Command command) {
         return Mono.fromFuture(voter.propose(command.command()))
                 .map(o -> new CommandReply(DeclarationCodec.write(o), Verdict.RAN, ""))
                 .onErrorResume(
@@ -103,9 +103,9 @@
     }
 
     /**
-     * Handles the question for an index.
+     * Handles a read index request of another voter.
      *
-     * @return the answer
+     * @return the reply
      */
     public Mono<ReadIndexReply> handleReadIndex() {
         return Mono.fromFuture(voter.confirmedIndex())
@@ -113,7 +113,7 @@
                 .onErrorResume(e -> Mono.just(new ReadIndexReply(0)));
     }
 
-    private Mono<DeclarationOutcome> atLeader(byte[] bytes) {
+    private Mono<DeclarationOutcome> submitToLeader(byte[] bytes) {
         InstanceId leader = voter.state().leader();
         if (leader == null) {
             return Mono.error(noQuorum(Verdict.NOT_RUN, "no leader is known"));
@@ -124,17 +124,17 @@
         return links.get(leader)
                 .call(new Command(bytes), TIMEOUT)
                 .cast(CommandReply.class)
-                .flatMap(CommandRouter::outcome);
+                .flatMap(CommandRouter::toOutcome);
     }
 
-    private static Mono<DeclarationOutcome> outcome(CommandReply reply) {
+    private static Mono<DeclarationOutcome> toOutcome(CommandReply reply) {
         if (reply.outcome() == null) {
             return Mono.error(noQuorum(reply.verdict(), reply.detail()));
         }
         return Mono.just(DeclarationCodec.read(reply.outcome(), DeclarationOutcome.class));
     }
 
-    private Mono<Long> readIndex() {
+    private Mono<Long> requestReadIndex() {
         InstanceId leader = voter.state().leader();
         if (leader == null) {
             return Mono.error(noQuorum(Verdict.NOT_RUN, "no leader is known"));
@@ -154,11 +154,11 @@
     private Mono<Void> awaitApplied(long index) {
         return Mono.fromSupplier(() -> machine.applied() >= index)
                 .filter(Boolean::booleanValue)
-                .repeatWhenEmpty(tries -> tries.delayElements(READ_POLL))
+                .repeatWhenEmpty(tries -> tries.delayElements(APPLY_POLL_INTERVAL))
                 .then();
     }
 
-    private static Throwable refusal(Throwable e) {
+    private static Throwable toRefusal(Throwable e) {
         if (e instanceof RefusalException) {
             return e;
         }
@@ -169,12 +169,12 @@
             return noQuorum(p.verdict(), p.getMessage());
         }
         if (e instanceof TimeoutException) {
-            return noQuorum(Verdict.MAY_HAVE_RUN, "no quorum confirmed the change in time; send it again as it is");
+            return noQuorum(Verdict.MAY_HAVE_RUN, "no quorum confirmed the change in time; retry it unchanged");
         }
         return e;
     }
 
     private static RefusalException noQuorum(Verdict verdict, String detail) {
-        return new RefusalException(ProblemType.NO_QUORUM, verdict, detail, COME_BACK);
+        return new RefusalException(ProblemType.NO_QUORUM, verdict, detail, RETRY_AFTER);
     }
 }
--- a/control/src/main/java/org/hallwall/control/ControlApi.java
+++ b/control/src/main/java/org/hallwall/control/ControlApi.java
@@ -54,64 +54,64 @@
 import reactor.netty.http.server.HttpServerResponse;
 import reactor.netty.http.server.HttpServerRoutes;
 
-/** The resource API of operators and their controllers. */
+/** The HTTP API for resources, used by operators and their automation. */
 final class ControlApi {
 
     private static final Logger LOG = Logger.getLogger(ControlApi.class);
     private static final String ROOT = "/api/v1";
-    private static final String CHANGE_ID = "Hallwall-Change-Id";
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,62}");
+    private static final String CHANGE_ID_HEADER = "Hallwall-Change-Id";
+    private static final Pattern NAME_PATTERN = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,62}");
 
     private final DeclarationMachine machine;
     private final CommandRouter router;
     private final ChangeFeed feed;
-    private final ResourceViews views;
-    private final OperatorKeys keys;
+    private final ResourceViewFactory views;
+    private final OperatorAuthenticator authenticator;
     private final Supplier<Object> status;
 
     ControlApi(
             DeclarationMachine machine,
             CommandRouter router,
             ChangeFeed feed,
-            StatusBoard board,
-            OperatorKeys keys,
+            ReportRegistry reports,
+            OperatorAuthenticator authenticator,
             Supplier<Object> status) {
         this.machine = machine;
         this.router = router;
         this.feed = feed;
-        this.views = new ResourceViews(board);
-        this.keys = keys;
+        this.views = new ResourceViewFactory(reports);
+        this.authenticator = authenticator;
         this.status = status;
     }
 
     void addRoutes(HttpServerRoutes routes) {
-        routes.get(ROOT + "/status", guarded((req, res) -> HttpReplies.json(res, 200, status.get())));
-        routes.get(ROOT + "/watch", guarded(this::watch));
-        routes.get(ROOT + "/{kind}", guarded(this::list));
-        routes.get(ROOT + "/{kind}/{name}", guarded(this::get));
-        routes.put(ROOT + "/{kind}/{name}", guarded(this::put));
-        routes.delete(ROOT + "/{kind}/{name}", guarded(this::delete));
+        routes.get(ROOT + "/status", authenticated((req, res) -> HttpReplies.json(res, 200, status.get())));
+        routes.get(ROOT + "/watch", authenticated(this::watch));
+        routes.get(ROOT + "/{kind}", authenticated(this::list));
+        routes.get(ROOT + "/{kind}/{name}", authenticated(this::get));
+        routes.put(ROOT + "/{kind}/{name}", authenticated(this::put));
+        routes.delete(ROOT + "/{kind}/{name}", authenticated(this::delete));
     }
 
     // --- reads
 
     private Publisher<Void> list(HttpServerRequest req, HttpServerResponse res) throws RefusalException {
         ResourceKind kind = kind(req);
-        return router.awaitFresh().then(Mono.defer(() -> {
+        return router.awaitReadIndex().then(Mono.defer(() -> {
             long version = machine.applied();
-            return Mono.from(HttpReplies.json(res, 200, new Page(version, views.views(machine.list(kind)))));
+            return Mono.from(HttpReplies.json(res, 200, new Page(version, views.createAll(machine.list(kind)))));
         }));
     }
 
     private Publisher<Void> get(HttpServerRequest req, HttpServerResponse res) throws RefusalException {
         ResourceKind kind = kind(req);
         String name = req.param("name");
-        return router.awaitFresh().then(Mono.defer(() -> {
+        return router.awaitReadIndex().then(Mono.defer(() -> {
             Resource r = machine.get(kind, name);
             if (r == null) {
                 return Mono.error(notFound(kind, name));
             }
-            return Mono.from(HttpReplies.json(res, 200, views.view(r)));
+            return Mono.from(HttpReplies.json(res, 200, views.create(r)));
         }));
     }
 
@@ -119,29 +119,30 @@
         long from = HttpQuery.of(req).number("from", machine.applied());
         if (machine.isCompacted(from)) {
             throw new RefusalException(
-                    ProblemType.GONE, "version " + from + " is too old; list, then watch from the list's version");
+                    ProblemType.GONE,
+                    "version " + from + " is compacted; list the resources and watch from the version of the list");
         }
-        Flux<ByteBuf> lines = feed.follow(from).concatMapIterable(this::lines);
+        Flux<ByteBuf> lines = feed.streamChanges(from).concatMapIterable(this::encodeLines);
         return res.header("Content-Type", "application/x-ndjson").send(lines, b -> true);
     }
 
-    private List<ByteBuf> lines(Changes changes) {
+    private List<ByteBuf> encodeLines(Changes changes) {
         List<ByteBuf> out = new ArrayList<>();
         for (ResourceEvent e : changes.events()) {
-            out.add(line(new WatchLine(e.deleted() ? "DELETE" : "PUT", e.version(), views.view(e.resource()))));
+            out.add(encodeLine(new WatchLine(e.deleted() ? "DELETE" : "PUT", e.version(), views.create(e.resource()))));
         }
         if (out.isEmpty()) {
-            out.add(line(new WatchLine("BOOKMARK", changes.version(), null)));
+            out.add(encodeLine(new WatchLine("BOOKMARK", changes.version(), null)));
         }
         return out;
     }
 
-    private static ByteBuf line(WatchLine line) {
+    private static ByteBuf encodeLine(WatchLine line) {
         try {
             String text = Json.MAPPER.writeValueAsString(line) + "\n";
             return Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.UTF_8));
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a watch line cannot be written", e);
+            throw new IllegalStateException("failed to serialize watch event", e);
         }
     }
 
@@ -161,7 +162,7 @@
 
     private Mono<DeclarationOutcome> submitPut(ResourceKind kind, String name, String changeId, String body) {
         try {
-            Declaration d = declaration(kind, name, body);
+            Declaration d = parseDeclaration(kind, name, body);
             long expected = d.resourceVersion() == null ? 0 : d.resourceVersion();
             String spec = d.spec().toString();
             return router.submit(new DeclarationCommand(Type.PUT, kind, name, spec, expected, changeId, null));
@@ -181,25 +182,26 @@
 
     private Publisher<Void> reply(HttpServerResponse res, DeclarationOutcome o, ResourceKind kind, String name) {
         return switch (o.result()) {
-            case APPLIED -> HttpReplies.json(res, 200, views.view(o.resource()));
+            case APPLIED -> HttpReplies.json(res, 200, views.create(o.resource()));
             case NOT_FOUND -> Mono.error(notFound(kind, name));
             case CONFLICT ->
-                Mono.error(
-                        new RefusalException(ProblemType.CONFLICT, "the resource has version " + o.currentVersion()));
+                Mono.error(new RefusalException(
+                        ProblemType.CONFLICT, "the current version of the resource is " + o.currentVersion()));
             case CHANGE_ID_REUSED ->
-                Mono.error(new RefusalException(ProblemType.KEY_REUSED, "the change id belongs to another change"));
+                Mono.error(new RefusalException(
+                        ProblemType.KEY_REUSED, "the change id was already used for another change"));
         };
     }
 
-    private static Declaration declaration(ResourceKind kind, String name, String body) throws RefusalException {
+    private static Declaration parseDeclaration(ResourceKind kind, String name, String body) throws RefusalException {
         Declaration d;
         try {
             d = Json.MAPPER.readValue(body, Declaration.class);
         } catch (JsonProcessingException e) {
-            throw new RefusalException(ProblemType.BAD_REQUEST, "the body is not a declaration in JSON");
+            throw new RefusalException(ProblemType.BAD_REQUEST, "the request body is not a valid JSON declaration");
         }
         if (d == null || !kind.label().equals(d.kind()) || !name.equals(d.name())) {
-            throw new RefusalException(ProblemType.BAD_REQUEST, "kind and name must be those of the path");
+            throw new RefusalException(ProblemType.BAD_REQUEST, "kind and name must match the request path");
         }
         JsonNode spec = d.spec() == null ? Json.MAPPER.nullNode() : d.spec();
         List<SettingsFault> faults = kind.check(spec);
@@ -212,56 +214,61 @@
     }
 
     private static String changeId(HttpServerRequest req) {
-        String given = req.requestHeaders().get(CHANGE_ID);
+        String given = req.requestHeaders().get(CHANGE_ID_HEADER);
         return given == null ? UUID.randomUUID().toString() : given;
     }
 
     private static ResourceKind kind(HttpServerRequest req) throws RefusalException {
         ResourceKind kind = ResourceKind.byPlural(req.param("kind"));
         if (kind == null) {
-            throw new RefusalException(ProblemType.NOT_FOUND, "there is no kind " + req.param("kind"));
+            throw new RefusalException(ProblemType.NOT_FOUND, "unknown resource kind " + req.param("kind"));
         }
         return kind;
     }
 
     private static String name(HttpServerRequest req) throws RefusalException {
         String name = req.param("name");
-        if (name == null || !NAME.matcher(name).matches()) {
-            throw new RefusalException(ProblemType.BAD_REQUEST, "a name must match " + NAME.pattern());
+        if (name == null || !NAME_PATTERN.matcher(name).matches()) {
+            throw new RefusalException(
+                    ProblemType.BAD_REQUEST, "the resource name must match " + NAME_PATTERN.pattern());
         }
         return name;
     }
 
     private static RefusalException notFound(ResourceKind kind, String name) {
-        return new RefusalException(ProblemType.NOT_FOUND, "there is no " + kind.label() + " " + name);
+        return new RefusalException(ProblemType.NOT_FOUND, kind.label() + " " + name + " does not exist");
     }
 
-    // --- guard
+    // --- authentication and errors
 
-    private BiFunction<HttpServerRequest, HttpServerResponse, Publisher<Void>> guarded(Handler handler) {
+    private BiFunction<HttpServerRequest, HttpServerResponse, Publisher<Void>> authenticated(RequestHandler handler) {
         return (req, res) -> {
             try {
-                keys.check(req.requestHeaders().get("Authorization"));
-                return Mono.from(handler.handle(req, res)).onErrorResume(e -> Mono.from(refuse(res, e)));
+                authenticator.authenticate(req.requestHeaders().get("Authorization"));
+                return Mono.from(handler.handle(req, res)).onErrorResume(e -> Mono.from(sendProblem(res, e)));
             } catch (RefusalException e) {
-                return refuse(res, e);
+                return sendProblem(res, e);
             }
         };
     }
 
-    private static Publisher<Void> refuse(HttpServerResponse res, Throwable e) {
+    private static Publisher<Void> sendProblem(HttpServerResponse res, Throwable e) {
         if (e instanceof RefusalException r) {
             return HttpReplies.problem(res, r, null);
         }
-        LOG.errorf(e, "control: an API request failed");
+        LOG.errorf(e, "control: API request failed");
         return HttpReplies.problem(
                 res,
-                new RefusalException(ProblemType.INTERNAL, Verdict.MAY_HAVE_RUN, "see the log", Duration.ZERO),
+                new RefusalException(
+                        ProblemType.INTERNAL,
+                        Verdict.MAY_HAVE_RUN,
+                        "internal error, see the log of the voter",
+                        Duration.ZERO),
                 null);
     }
 
     /** Handles one request. */
-    private interface Handler {
+    private interface RequestHandler {
         Publisher<Void> handle(HttpServerRequest req, HttpServerResponse res) throws RefusalException;
     }
 }
--- a/control/src/main/java/org/hallwall/control/ControlDaemon.java
+++ b/control/src/main/java/org/hallwall/control/ControlDaemon.java
@@ -64,21 +64,21 @@
 import reactor.netty.DisposableServer;
 import reactor.netty.http.server.HttpServer;
 
-/** A running voter. */
+/** A running voter: its replicated log, the resource API and the peer and admin servers. */
 final class ControlDaemon implements Daemon {
 
     private static final Logger LOG = Logger.getLogger(ControlDaemon.class);
-    private static final long MOST_WAIT_MILLIS = 5_000;
+    private static final long MAX_WATCH_WAIT_MILLIS = 5_000;
 
     private final ControlSettings settings;
     private final Map<InstanceId, PeerLink> links = new LinkedHashMap<>();
     private final DeclarationMachine machine = new DeclarationMachine();
-    private final StatusBoard board = new StatusBoard(Ticker.SYSTEM);
+    private final ReportRegistry reports = new ReportRegistry(Ticker.SYSTEM);
     private final LogStore store;
     private final LogVoter voter;
     private final CommandRouter router;
     private final ChangeFeed feed;
-    private final ShareDuty shares;
+    private final ShareReconciler shareReconciler;
     private final PeerServer peers;
     private DisposableServer api;
     private AdminServer admin;
@@ -86,7 +86,7 @@
     private ControlDaemon(ControlSettings settings, LogStore store) {
         this.settings = settings;
         this.store = store;
-        PeerCodec codec = new PeerCodec(kinds());
+        PeerCodec codec = new PeerCodec(messageKinds());
         for (ControlSettings.Voter v : settings.voters()) {
             if (!v.instance().equals(settings.instance())) {
                 links.put(v.instance(), new PeerLink(v.peer(), settings.fleet(), settings.instance(), codec));
@@ -102,15 +102,16 @@
                 () -> Runtime.getRuntime().halt(ExitCode.FAILURE.code()));
         router = new CommandRouter(settings.instance(), voter, machine, links);
         feed = new ChangeFeed(machine);
-        shares = new ShareDuty(voter, machine, board, router, settings.darkAfterMillis(), Ticker.SYSTEM);
+        shareReconciler =
+                new ShareReconciler(voter, machine, reports, router, settings.darkAfterMillis(), Ticker.SYSTEM);
         peers = new PeerServer(settings.fleet(), codec, this::handle);
     }
 
     static ControlDaemon start(ControlSettings settings) throws ProgramException {
         if (settings.listenAddress() == null) {
-            throw new ProgramException(ExitCode.FAILURE, settings.instance() + " is not among the voters");
+            throw new ProgramException(ExitCode.FAILURE, settings.instance() + " is not listed in voters");
         }
-        requireKeys(settings);
+        requireOperatorKeys(settings);
         try {
             ControlDaemon daemon = new ControlDaemon(settings, LogStore.open(settings.dataFolder()));
             daemon.open();
@@ -123,23 +124,23 @@
     private void open() throws ProgramException, IOException {
         peers.open(settings.listenAddress());
         voter.start();
-        shares.start();
+        shareReconciler.start();
         ControlApi routes = new ControlApi(
-                machine, router, feed, board, new OperatorKeys(settings.operatorKeySha256()), this::status);
+                machine, router, feed, reports, new OperatorAuthenticator(settings.operatorKeySha256()), this::status);
         HttpServer http = HttpServer.create()
                 .host(settings.api().host())
                 .port(settings.api().port())
                 .route(routes::addRoutes);
         api = HttpPorts.bind(http, settings.api());
         admin = AdminServer.open(settings.admin(), metrics(), this::isReady, this::dump);
-        LOG.infof("control: %s serves the resource API on port %d", settings.instance(), api.port());
+        LOG.infof("control: %s started, resource API on port %d", settings.instance(), api.port());
     }
 
     @Override
     public void close() {
-        LOG.infof("control: %s stops", settings.instance());
+        LOG.infof("control: %s is stopping", settings.instance());
         api.disposeNow();
-        shares.close();
+        shareReconciler.close();
         voter.close();
         peers.close();
         links.values().forEach(PeerLink::close);
@@ -147,23 +148,24 @@
         try {
             store.close();
         } catch (LogStoreException e) {
-            LOG.warnf("control: the store was not closed, %s", e.getMessage());
+            LOG.warnf("control: failed to close the log store: %s", e.getMessage());
         }
     }
 
-    private static void requireKeys(ControlSettings settings) throws ProgramException {
+    private static void requireOperatorKeys(ControlSettings settings) throws ProgramException {
         try {
             boolean loopback = InetAddress.getByName(settings.api().host()).isLoopbackAddress();
             if (settings.operatorKeySha256().isEmpty() && !loopback) {
                 throw new ProgramException(
-                        ExitCode.FAILURE, "operatorKeySha256 may be empty only if the API is on loopback");
+                        ExitCode.FAILURE,
+                        "operatorKeySha256 must not be empty unless the API listens on a loopback address");
             }
         } catch (UnknownHostException e) {
-            throw new ProgramException(ExitCode.FAILURE, "api is not an IP number", e);
+            throw new ProgramException(ExitCode.FAILURE, "the host of api is not a valid IP address", e);
         }
     }
 
-    private static PeerKinds kinds() {
+    private static PeerKinds messageKinds() {
         PeerKinds kinds = new PeerKinds();
         LogMessage.register(kinds);
         ResourceMessage.register(kinds);
@@ -178,10 +180,10 @@
             return Mono.empty();
         }
         if (message instanceof Watch m) {
-            return feed.next(m.after(), Duration.ofMillis(Math.min(m.waitMillis(), MOST_WAIT_MILLIS)));
+            return feed.awaitChanges(m.after(), Duration.ofMillis(Math.min(m.waitMillis(), MAX_WATCH_WAIT_MILLIS)));
         }
         if (message instanceof Command m) {
-            return links.containsKey(from) ? router.handle(m) : Mono.empty();
+            return links.containsKey(from) ? router.handleCommand(m) : Mono.empty();
         }
         if (message instanceof FormDomain m) {
             return formDomain(m);
@@ -190,9 +192,9 @@
             return router.handleReadIndex();
         }
         if (message instanceof EntryReport m) {
-            board.take(m);
+            reports.update(m);
         } else if (message instanceof DomainReport m) {
-            board.take(m);
+            reports.update(m);
         }
         return Mono.empty();
     }
@@ -252,7 +254,7 @@
     }
 
     private Object status() {
-        return new Status(settings.instance(), voter.state(), machine.applied(), board.entries(), board.domains());
+        return new Status(settings.instance(), voter.state(), machine.applied(), reports.entries(), reports.domains());
     }
 
     private Object dump() {
@@ -262,15 +264,15 @@
         try {
             bytes = store.entriesBytes();
         } catch (LogStoreException e) {
-            LOG.warnf("control: the size of the log is unknown, %s", e.getMessage());
+            LOG.warnf("control: failed to read the size of the log: %s", e.getMessage());
         }
         return new Dump(status(), voter.dutyState(), peers.traffic(), sent, bytes, store.syncs(), machine.list(null));
     }
 
-    /** What {@code hallwall status} shows. */
+    /** The content of {@code hallwall status}. */
     record Status(InstanceId voter, LogState log, long applied, Object entries, Object domains) {}
 
-    /** The dump of a voter. */
+    /** The content of a voter's diagnostic dump. */
     record Dump(
             Object status,
             DutyState logRing,
--- a/control/src/main/java/org/hallwall/control/ControlMain.java
+++ b/control/src/main/java/org/hallwall/control/ControlMain.java
@@ -34,7 +34,7 @@
 /** The program {@code hallwall-control}. */
 public final class ControlMain extends DaemonProgram<ControlSettings> {
 
-    private static final String FORM = "form";
+    private static final String FORM_OPTION = "form";
 
     /** Creates the program. */
     public ControlMain() {
@@ -57,14 +57,14 @@
     @Override
     protected void addOptions(Options options) {
         options.addOption(Option.builder()
-                .longOpt(FORM)
+                .longOpt(FORM_OPTION)
                 .desc("make the data folder of a new fleet and end; never on a voter that lost its disk")
                 .get());
     }
 
     @Override
     protected boolean runInstead(CommandLine line, ControlSettings settings, PrintStream out) throws ProgramException {
-        if (!line.hasOption(FORM)) {
+        if (!line.hasOption(FORM_OPTION)) {
             return false;
         }
         try {
--- a/control/src/main/java/org/hallwall/control/ControlSettings.java
+++ b/control/src/main/java/org/hallwall/control/ControlSettings.java
@@ -33,15 +33,15 @@
  * @param fleet the name of the fleet
  * @param instance this instance
  * @param failureDomain its failure domain
- * @param dataFolder where its state lasts
- * @param voters all voters, this one included
- * @param peerListen where the peer port listens; null for the address given in {@code voters}
- * @param api where the resource API listens
- * @param admin where the admin port listens
- * @param operatorKeySha256 the SHA-256 of each operator's key; empty only if the API is on loopback
- * @param darkAfterMillis how long a failure domain must be silent before its shares move
- * @param logFormat the form of the log
- * @param logLevel the least level logged
+ * @param dataFolder the directory of the persistent state
+ * @param voters all voters, including this one
+ * @param peerListen the listen address of the peer server; null for the address given in {@code voters}
+ * @param api the listen address of the resource API
+ * @param admin the listen address of the admin server
+ * @param operatorKeySha256 the SHA-256 hashes of operator keys; may be empty only if the API listens on loopback
+ * @param darkAfterMillis the time without reports after which a failure domain loses its shares
+ * @param logFormat the log format
+ * @param logLevel the minimum log level
  */
 public record ControlSettings(
         String fleet,
@@ -58,12 +58,12 @@
         String logLevel)
         implements DaemonSettings {
 
-    private static final long USUAL_DARK_AFTER_MILLIS = 60_000;
+    private static final long DEFAULT_DARK_AFTER_MILLIS = 60_000;
 
-    /** Fills in what the file leaves out. */
+    /** Applies default values. */
     public ControlSettings {
         operatorKeySha256 = operatorKeySha256 == null ? List.of() : List.copyOf(operatorKeySha256);
-        darkAfterMillis = darkAfterMillis == null ? USUAL_DARK_AFTER_MILLIS : darkAfterMillis;
+        darkAfterMillis = darkAfterMillis == null ? DEFAULT_DARK_AFTER_MILLIS : darkAfterMillis;
         logFormat = logFormat == null ? LogFormat.TEXT : logFormat;
         logLevel = logLevel == null ? "INFO" : logLevel;
     }
@@ -77,7 +77,7 @@
     public record Voter(InstanceId instance, NetAddress peer) {}
 
     /**
-     * Gives where the peer port listens.
+     * Returns the listen address of the peer server.
      *
      * @return the address; null if this instance is not among the voters
      */
@@ -94,7 +94,7 @@
     }
 
     /**
-     * Lists the voters' names.
+     * Returns the names of all voters.
      *
      * @return the names
      */
--- a/control/src/main/java/org/hallwall/control/DeclarationCodec.java
+++ b/control/src/main/java/org/hallwall/control/DeclarationCodec.java
@@ -24,7 +24,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
-/** Writes and reads commands, outcomes and snapshots as MessagePack. */
+/** Serializes commands, outcomes and snapshots as MessagePack. */
 final class DeclarationCodec {
 
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
@@ -35,7 +35,7 @@
         try {
             return MAPPER.writeValueAsBytes(value);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("value cannot be written", e);
+            throw new IllegalStateException("failed to serialize value", e);
         }
     }
 
--- a/control/src/main/java/org/hallwall/control/DeclarationCommand.java
+++ b/control/src/main/java/org/hallwall/control/DeclarationCommand.java
@@ -23,15 +23,15 @@
 import org.hallwall.resource.ResourceKind;
 
 /**
- * A command in the log.
+ * A command of the replicated log.
  *
- * @param type what to do
+ * @param type the type of the command
  * @param kind the kind of the resource
  * @param name the name of the resource, or of the failure domain
- * @param spec the spec as JSON text; for a put; the boots of a failure domain, by commas
+ * @param spec for a put, the spec as JSON text; for a failure domain, its boot identifiers, comma-separated
  * @param expectedVersion the version that the resource must have; zero if it must not exist
- * @param changeId the sender's id of the change; null for the system's own changes
- * @param shares the replicas of each failure domain; for a change of shares
+ * @param changeId the idempotency key chosen by the client; null for changes made by the system
+ * @param shares for a change of shares, the replicas of each failure domain
  */
 public record DeclarationCommand(
         Type type,
@@ -42,7 +42,7 @@
         String changeId,
         Map<String, Integer> shares) {
 
-    /** What a command does. */
+    /** The type of a command. */
     public enum Type {
         /** Creates a resource or replaces its spec. */
         PUT,
@@ -50,7 +50,7 @@
         DELETE,
         /** Sets the shares of a model group. */
         SHARE,
-        /** Notes the boots with which a failure domain was first formed; a later one changes nothing. */
+        /** Records the boot identifiers with which a failure domain was first formed; later commands have no effect. */
         FORM_DOMAIN
     }
 }
--- a/control/src/main/java/org/hallwall/control/DeclarationMachine.java
+++ b/control/src/main/java/org/hallwall/control/DeclarationMachine.java
@@ -36,26 +36,27 @@
 import org.hallwall.resource.ResourceMessage.Changes;
 
 /**
- * The declared resources, driven by the log.
+ * The replicated state machine that holds the declared resources.
  *
- * <p>The log's thread writes; any thread reads. A change id is remembered for the last {@value #REMEMBERED_CHANGES}
- * changes, and the changes themselves for the last {@value #HISTORY}.
+ * <p>Commands are applied by the log thread; reads are safe from any thread. The outcomes of the last
+ * {@value #MAX_CHANGE_IDS} change ids are kept to answer retries, and the last {@value #MAX_EVENTS} events to serve
+ * watches.
  */
 public final class DeclarationMachine implements LogMachine {
 
-    private static final int REMEMBERED_CHANGES = 4_096;
-    private static final int HISTORY = 1_024;
+    private static final int MAX_CHANGE_IDS = 4_096;
+    private static final int MAX_EVENTS = 1_024;
 
     private final Map<String, Resource> resources = new TreeMap<>();
-    private final Map<String, Remembered> changes = new LinkedHashMap<>();
+    private final Map<String, CompletedChange> completedChanges = new LinkedHashMap<>();
     private final Map<String, String> formedDomains = new TreeMap<>();
-    private final Deque<ResourceEvent> history = new ArrayDeque<>();
+    private final Deque<ResourceEvent> events = new ArrayDeque<>();
     private final List<Runnable> listeners = new CopyOnWriteArrayList<>();
     private long applied;
-    private long historyFloor;
+    private long compactedVersion;
 
     /**
-     * Adds a listener that is told on the log's thread after each applied command.
+     * Adds a listener that is called on the log thread after each applied command.
      *
      * @param listener the listener; must not block
      */
@@ -66,30 +67,33 @@
     @Override
     public Object apply(long index, byte[] command) {
         DeclarationOutcome outcome = applyLocked(index, DeclarationCodec.read(command, DeclarationCommand.class));
-        tellListeners();
+        notifyListeners();
         return outcome;
     }
 
     @Override
     public void skip(long index) {
         skipLocked(index);
-        tellListeners();
+        notifyListeners();
     }
 
     @Override
     public synchronized byte[] snapshot() {
-        return DeclarationCodec.write(new Saved(
-                applied, List.copyOf(resources.values()), new LinkedHashMap<>(changes), new TreeMap<>(formedDomains)));
+        return DeclarationCodec.write(new Snapshot(
+                applied,
+                List.copyOf(resources.values()),
+                new LinkedHashMap<>(completedChanges),
+                new TreeMap<>(formedDomains)));
     }
 
     @Override
     public void restore(long index, byte[] state) {
         restoreLocked(index, state);
-        tellListeners();
+        notifyListeners();
     }
 
     /**
-     * Gives the index of the last applied command.
+     * Returns the index of the last applied command.
      *
      * @return the index
      */
@@ -98,11 +102,11 @@
     }
 
     /**
-     * Finds a resource.
+     * Returns a resource.
      *
      * @param kind its kind
      * @param name its name
-     * @return the resource; null if there is none
+     * @return the resource; null if it does not exist
      */
     public synchronized Resource get(ResourceKind kind, String name) {
         return resources.get(key(kind, name));
@@ -125,20 +129,20 @@
     }
 
     /**
-     * Gives the changes after a version.
+     * Returns the changes after a version.
      *
      * @param after the version
-     * @return the changes, or all resources if the version is too old; null if the version is the latest or newer
+     * @return the changes, or all resources if the version is compacted; null if there are no newer changes
      */
     public synchronized Changes changesAfter(long after) {
         if (after >= applied) {
             return null;
         }
         if (isCompacted(after)) {
-            return whole();
+            return allResources();
         }
         List<ResourceEvent> out = new ArrayList<>();
-        for (ResourceEvent e : history) {
+        for (ResourceEvent e : events) {
             if (e.version() > after) {
                 out.add(e);
             }
@@ -147,16 +151,16 @@
     }
 
     /**
-     * Says whether the changes after a version are no longer all remembered.
+     * Returns whether some changes after a version are no longer available.
      *
      * @param after the version
      * @return true if a watch must begin with a list
      */
     public synchronized boolean isCompacted(long after) {
-        return after < historyFloor;
+        return after < compactedVersion;
     }
 
-    private void tellListeners() {
+    private void notifyListeners() {
         for (Runnable l : listeners) {
             l.run();
         }
@@ -166,7 +170,7 @@
         applied = index;
     }
 
-    private Changes whole() {
+    private Changes allResources() {
         List<ResourceEvent> all = new ArrayList<>();
         for (Resource r : resources.values()) {
             all.add(new ResourceEvent(r.resourceVersion(), false, r));
@@ -182,18 +186,18 @@
             }
             return new DeclarationOutcome(Result.APPLIED, null, formedDomains.get(c.name()), 0);
         }
-        Remembered earlier = c.changeId() == null ? null : changes.get(c.changeId());
+        CompletedChange earlier = c.changeId() == null ? null : completedChanges.get(c.changeId());
         if (earlier != null) {
             return earlier.matches(c) ? earlier.outcome() : new DeclarationOutcome(Result.CHANGE_ID_REUSED, null, 0);
         }
-        DeclarationOutcome outcome = decide(index, c);
+        DeclarationOutcome outcome = applyToResource(index, c);
         if (c.changeId() != null) {
-            remember(c, outcome);
+            recordChange(c, outcome);
         }
         return outcome;
     }
 
-    private DeclarationOutcome decide(long index, DeclarationCommand c) {
+    private DeclarationOutcome applyToResource(long index, DeclarationCommand c) {
         Resource before = resources.get(key(c.kind(), c.name()));
         long current = before == null ? 0 : before.resourceVersion();
         if (before == null && c.type() != DeclarationCommand.Type.PUT) {
@@ -209,7 +213,7 @@
         } else {
             resources.put(key(c.kind(), c.name()), after);
         }
-        record(new ResourceEvent(index, deleted, after));
+        recordEvent(new ResourceEvent(index, deleted, after));
         return new DeclarationOutcome(Result.APPLIED, after, current);
     }
 
@@ -227,48 +231,48 @@
                 new Resource(
                         c.kind(), c.name(), before.generation(), before.resourceVersion(), before.spec(), c.shares());
             case DELETE -> before;
-            default -> throw new IllegalStateException("no resource changes by " + c.type());
+            default -> throw new IllegalStateException("unsupported command type " + c.type());
         };
     }
 
-    private void record(ResourceEvent event) {
-        history.addLast(event);
-        if (history.size() > HISTORY) {
-            historyFloor = history.removeFirst().version();
+    private void recordEvent(ResourceEvent event) {
+        events.addLast(event);
+        if (events.size() > MAX_EVENTS) {
+            compactedVersion = events.removeFirst().version();
         }
     }
 
-    private void remember(DeclarationCommand c, DeclarationOutcome outcome) {
-        changes.put(c.changeId(), new Remembered(c.type(), c.kind(), c.name(), c.spec(), outcome));
-        if (changes.size() > REMEMBERED_CHANGES) {
-            changes.remove(changes.keySet().iterator().next());
+    private void recordChange(DeclarationCommand c, DeclarationOutcome outcome) {
+        completedChanges.put(c.changeId(), new CompletedChange(c.type(), c.kind(), c.name(), c.spec(), outcome));
+        if (completedChanges.size() > MAX_CHANGE_IDS) {
+            completedChanges.remove(completedChanges.keySet().iterator().next());
         }
     }
 
     private synchronized void restoreLocked(long index, byte[] state) {
         resources.clear();
-        changes.clear();
+        completedChanges.clear();
         formedDomains.clear();
-        history.clear();
+        events.clear();
         applied = index;
-        historyFloor = index;
+        compactedVersion = index;
         if (state.length == 0) {
             return;
         }
-        Saved saved = DeclarationCodec.read(state, Saved.class);
-        for (Resource r : saved.resources()) {
+        Snapshot snapshot = DeclarationCodec.read(state, Snapshot.class);
+        for (Resource r : snapshot.resources()) {
             resources.put(key(r.kind(), r.name()), r);
         }
-        changes.putAll(saved.changes());
-        formedDomains.putAll(saved.formedDomains());
+        completedChanges.putAll(snapshot.changes());
+        formedDomains.putAll(snapshot.formedDomains());
     }
 
     private static String key(ResourceKind kind, String name) {
         return kind.plural() + "/" + name;
     }
 
-    /** What is remembered of a change, to answer when it is sent again. */
-    record Remembered(
+    /** A completed change and its outcome, kept to answer retries of the same change. */
+    record CompletedChange(
             DeclarationCommand.Type type, ResourceKind kind, String name, String spec, DeclarationOutcome outcome) {
 
         boolean matches(DeclarationCommand c) {
@@ -277,9 +281,9 @@
     }
 
     /** The content of a snapshot. */
-    record Saved(
+    record Snapshot(
             long applied,
             List<Resource> resources,
-            Map<String, Remembered> changes,
+            Map<String, CompletedChange> changes,
             Map<String, String> formedDomains) {}
 }
--- a/control/src/main/java/org/hallwall/control/DeclarationOutcome.java
+++ b/control/src/main/java/org/hallwall/control/DeclarationOutcome.java
@@ -21,11 +21,11 @@
 import org.hallwall.resource.Resource;
 
 /**
- * The outcome of a command, the same on every voter.
+ * The outcome of a command; identical on every voter.
  *
- * @param result what became of it
+ * @param result the result
  * @param resource the resource after the command; null if there is none
- * @param formed the boots with which a failure domain was first formed; null for other commands
+ * @param formed the boot identifiers with which a failure domain was first formed; null for other commands
  * @param currentVersion the version of the resource when the command was applied; zero if there was none
  */
 public record DeclarationOutcome(Result result, Resource resource, String formed, long currentVersion) {
@@ -34,15 +34,15 @@
         this(result, resource, null, currentVersion);
     }
 
-    /** What became of a command. */
+    /** The result of a command. */
     public enum Result {
-        /** It was applied. */
+        /** The command was applied. */
         APPLIED,
-        /** The resource had another version. */
+        /** The resource did not have the expected version. */
         CONFLICT,
-        /** There was no such resource. */
+        /** The resource does not exist. */
         NOT_FOUND,
-        /** The change id belongs to another change. */
+        /** The change id was already used for another change. */
         CHANGE_ID_REUSED
     }
 }
--- a/control/src/main/java/org/hallwall/control/OperatorKeys.java
+++ b/control/src/main/java/org/hallwall/control/OperatorAuthenticator.java
@@ -24,25 +24,25 @@
 import org.hallwall.core.verdict.ProblemType;
 import org.hallwall.core.verdict.RefusalException;
 
-/** Checks the keys of operators. */
-final class OperatorKeys {
+/** Authenticates operators by the hash of their key. */
+final class OperatorAuthenticator {
 
-    private static final String BEARER = "Bearer ";
+    private static final String BEARER_PREFIX = "Bearer ";
 
-    private final List<String> hashes;
+    private final List<String> keyHashes;
 
-    OperatorKeys(List<String> hashes) {
-        this.hashes = hashes;
+    OperatorAuthenticator(List<String> hashes) {
+        this.keyHashes = hashes;
     }
 
-    void check(String authorization) throws RefusalException {
-        if (hashes.isEmpty()) {
+    void authenticate(String authorization) throws RefusalException {
+        if (keyHashes.isEmpty()) {
             return;
         }
         if (authorization == null
-                || !authorization.startsWith(BEARER)
-                || !hashes.contains(KeyHash.of(authorization.substring(BEARER.length())))) {
-            throw new RefusalException(ProblemType.UNAUTHORIZED, "an operator's key is needed");
+                || !authorization.startsWith(BEARER_PREFIX)
+                || !keyHashes.contains(KeyHash.of(authorization.substring(BEARER_PREFIX.length())))) {
+            throw new RefusalException(ProblemType.UNAUTHORIZED, "a valid operator key is required");
         }
     }
 }
--- a/control/src/main/java/org/hallwall/control/ResourceView.java
+++ b/control/src/main/java/org/hallwall/control/ResourceView.java
@@ -24,15 +24,15 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * A resource as the API shows it.
+ * A resource as returned by the API.
  *
  * @param kind the name of its kind
  * @param name its name
- * @param generation how often its spec has changed
+ * @param generation the generation of its spec, incremented with each change
  * @param resourceVersion the version to send with a change
  * @param spec the declared spec
- * @param shares of a model group, the replicas given to each failure domain
- * @param status of a model group, what was observed; null for other kinds
+ * @param shares for a model group, the replicas assigned to each failure domain
+ * @param status for a model group, the observed status; null for other kinds
  */
 public record ResourceView(
         String kind,
@@ -44,12 +44,12 @@
         Status status) {
 
     /**
-     * What was observed of a model group.
+     * The observed status of a model group.
      *
-     * @param observedGeneration the generation that every failure domain with a share works towards
-     * @param completeReplicas the complete groups over all failure domains
-     * @param currentReplicas the complete groups of the declared version
-     * @param downtimeSeconds the group downtime over all failure domains, in seconds
+     * @param observedGeneration the lowest generation reported by the domains that have a share; zero if one is missing
+     * @param completeReplicas the number of complete groups in all failure domains
+     * @param currentReplicas the number of complete groups that have the declared version
+     * @param downtimeSeconds the total group downtime in all failure domains, in seconds
      * @param conditions the conditions
      */
     public record Status(
@@ -60,11 +60,11 @@
             List<Condition> conditions) {}
 
     /**
-     * One condition.
+     * A condition of a resource.
      *
-     * @param type its name
-     * @param status whether it holds
-     * @param reason one sentence
+     * @param type the type of the condition
+     * @param status whether the condition is met
+     * @param reason a human-readable explanation
      */
     public record Condition(String type, boolean status, String reason) {}
 
@@ -77,7 +77,7 @@
     public record Page(long version, List<ResourceView> items) {}
 
     /**
-     * One line of a watch.
+     * An event of a watch, sent as one line of JSON.
      *
      * @param type {@code PUT}, {@code DELETE} or {@code BOOKMARK}
      * @param version the version of the change
@@ -86,7 +86,7 @@
     public record WatchLine(String type, long version, ResourceView resource) {}
 
     /**
-     * A declaration as it is sent.
+     * A declaration in a request.
      *
      * @param kind the name of the kind
      * @param name the name of the resource
--- a/control/src/main/java/org/hallwall/control/ResourceViews.java
+++ b/control/src/main/java/org/hallwall/control/ResourceViewFactory.java
@@ -30,18 +30,18 @@
 import org.hallwall.resource.ResourceMessage.DomainReport;
 import org.hallwall.resource.ResourceMessage.GroupCount;
 
-/** Joins declared resources with what the failure domains report. */
-final class ResourceViews {
+/** Combines declared resources with the reports of failure domains. */
+final class ResourceViewFactory {
 
-    private static final long FRESH_MILLIS = 5_000;
+    private static final long REPORT_TTL_MILLIS = 5_000;
 
-    private final StatusBoard board;
+    private final ReportRegistry reports;
 
-    ResourceViews(StatusBoard board) {
-        this.board = board;
+    ResourceViewFactory(ReportRegistry reports) {
+        this.reports = reports;
     }
 
-    ResourceView view(Resource r) {
+    ResourceView create(Resource r) {
         boolean group = r.kind() == ResourceKind.MODEL_GROUP;
         return new ResourceView(
                 r.kind().label(),
@@ -53,10 +53,10 @@
                 group ? status(r) : null);
     }
 
-    List<ResourceView> views(List<Resource> resources) {
+    List<ResourceView> createAll(List<Resource> resources) {
         List<ResourceView> out = new ArrayList<>();
         for (Resource r : resources) {
-            out.add(view(r));
+            out.add(create(r));
         }
         return out;
     }
@@ -66,12 +66,12 @@
         int complete = 0;
         int current = 0;
         double downtime = 0;
-        List<String> silent = new ArrayList<>();
+        List<String> missing = new ArrayList<>();
         Map<String, GroupCount> counts = counts(r.name());
         for (String domain : r.shares().keySet()) {
             GroupCount c = counts.get(domain);
             if (c == null) {
-                silent.add(domain);
+                missing.add(domain);
                 observed = 0;
             } else {
                 observed = Math.min(observed, c.generation());
@@ -82,31 +82,32 @@
             current += c.current();
             downtime += c.downtimeSeconds();
         }
-        return new ResourceView.Status(observed, complete, current, downtime, conditions(r, complete, current, silent));
+        return new ResourceView.Status(
+                observed, complete, current, downtime, conditions(r, complete, current, missing));
     }
 
     private Map<String, GroupCount> counts(String group) {
         Map<String, GroupCount> out = new TreeMap<>();
-        for (StatusBoard.Aged<DomainReport> a : board.domains()) {
+        for (ReportRegistry.AgedReport<DomainReport> a : reports.domains()) {
             GroupCount c = a.report().groups().get(group);
-            if (c != null && a.ageMillis() < FRESH_MILLIS) {
+            if (c != null && a.ageMillis() < REPORT_TTL_MILLIS) {
                 out.put(a.report().domain().value(), c);
             }
         }
         return out;
     }
 
-    private static List<Condition> conditions(Resource r, int complete, int current, List<String> silent) {
+    private static List<Condition> conditions(Resource r, int complete, int current, List<String> missing) {
         int wanted = r.read(ModelGroupSpec.class).replicas();
         List<Condition> out = new ArrayList<>();
         out.add(new Condition(
-                "Available", complete > 0 || wanted == 0, complete + " of " + wanted + " replicas serve"));
+                "Available", complete > 0 || wanted == 0, complete + " of " + wanted + " replicas are available"));
         out.add(new Condition(
                 "Converged",
                 current == wanted && complete == wanted,
                 current + " of " + wanted + " replicas have the declared version"));
-        if (!silent.isEmpty()) {
-            out.add(new Condition("DomainsHeard", false, "no report of " + String.join(", ", silent)));
+        if (!missing.isEmpty()) {
+            out.add(new Condition("DomainsHeard", false, "no recent report from " + String.join(", ", missing)));
         }
         return out;
     }
--- a/control/src/main/java/org/hallwall/control/ShareAssigner.java
+++ b/control/src/main/java/org/hallwall/control/ShareAssigner.java
@@ -24,66 +24,65 @@
 
 import org.hallwall.core.id.FailureDomainId;
 
-/** Divides the replicas of model groups over the failure domains. */
+/** Assigns the replicas of model groups to failure domains. */
 public final class ShareAssigner {
 
-    private final Map<FailureDomainId, Integer> free;
-    private final Set<FailureDomainId> strained;
+    private final Map<FailureDomainId, Integer> freeTargets;
+    private final Set<FailureDomainId> overcommitted;
 
     /**
      * Creates an assigner for one round.
      *
-     * @param free the targets of each usable failure domain less those that the current shares need; may be negative; kept
-     *     up to date by this object
-     * @param strained the failure domains that have had too few targets for their shares for long
+     * @param freeTargets the free targets of each usable failure domain: its targets less those required by its current
+     *     shares; may be negative
+     * @param overcommitted the failure domains that have had fewer targets than their shares require for long
      */
-    public ShareAssigner(Map<FailureDomainId, Integer> free, Set<FailureDomainId> strained) {
-        this.free = new TreeMap<>(free);
-        this.strained = strained;
+    public ShareAssigner(Map<FailureDomainId, Integer> freeTargets, Set<FailureDomainId> overcommitted) {
+        this.freeTargets = new TreeMap<>(freeTargets);
+        this.overcommitted = overcommitted;
     }
 
     /**
-     * Divides the replicas of one model group. Replicas stay where they are as long as the domain is usable and not
-     * strained; new ones go only where there are targets for them, so that a domain that is heard first does not get what
-     * it cannot serve.
+     * Assigns the replicas of one model group. Existing replicas are kept as long as their domain is usable and not
+     * overcommitted. New replicas are assigned only to domains with enough free targets.
      *
-     * @param replicas how many replicas are declared
-     * @param targetsPerReplica how many targets each takes
+     * @param replicas the declared number of replicas
+     * @param targetsPerReplica the number of targets per replica
      * @param current the current shares
-     * @return the new shares; together fewer than declared while no domain has room
+     * @return the new shares; their sum is below the declared number if the domains lack free targets
      */
     public Map<String, Integer> assign(int replicas, int targetsPerReplica, Map<String, Integer> current) {
         Map<String, Integer> shares = new TreeMap<>();
-        int given = 0;
+        int assigned = 0;
         for (Map.Entry<String, Integer> e : new TreeMap<>(current).entrySet()) {
             FailureDomainId domain = new FailureDomainId(e.getKey());
-            if (!free.containsKey(domain)) {
+            if (!freeTargets.containsKey(domain)) {
                 continue;
             }
-            int keep = Math.min(e.getValue(), replicas - given);
-            keep -= movable(domain, keep, targetsPerReplica);
-            free.merge(domain, (e.getValue() - keep) * targetsPerReplica, Integer::sum);
-            given += keep;
-            if (keep > 0) {
-                shares.put(e.getKey(), keep);
+            int kept = Math.min(e.getValue(), replicas - assigned);
+            kept -= replicasToMove(domain, kept, targetsPerReplica);
+            freeTargets.merge(domain, (e.getValue() - kept) * targetsPerReplica, Integer::sum);
+            assigned += kept;
+            if (kept > 0) {
+                shares.put(e.getKey(), kept);
             }
         }
-        FailureDomainId roomy = roomiest(shares, targetsPerReplica);
-        while (given < replicas && roomy != null) {
-            shares.merge(roomy.value(), 1, Integer::sum);
-            free.merge(roomy, -targetsPerReplica, Integer::sum);
-            given++;
-            roomy = roomiest(shares, targetsPerReplica);
+        FailureDomainId next = domainWithMostFreeTargets(shares, targetsPerReplica);
+        while (assigned < replicas && next != null) {
+            shares.merge(next.value(), 1, Integer::sum);
+            freeTargets.merge(next, -targetsPerReplica, Integer::sum);
+            assigned++;
+            next = domainWithMostFreeTargets(shares, targetsPerReplica);
         }
         return shares;
     }
 
-    /** A strained domain gives up one replica a round, if another one has room for it. */
-    private int movable(FailureDomainId domain, int held, int targetsPerReplica) {
-        if (held == 0 || !strained.contains(domain) || free.get(domain) >= 0) {
+    /** Returns one if an overcommitted domain can move a replica to another domain in this round, else zero. */
+    private int replicasToMove(FailureDomainId domain, int assigned, int targetsPerReplica) {
+        if (assigned == 0 || !overcommitted.contains(domain) || freeTargets.get(domain) >= 0) {
             return 0;
         }
-        for (Map.Entry<FailureDomainId, Integer> e : free.entrySet()) {
+        for (Map.Entry<FailureDomainId, Integer> e : freeTargets.entrySet()) {
             if (!e.getKey().equals(domain) && e.getValue() >= targetsPerReplica) {
                 return 1;
             }
@@ -91,21 +90,21 @@
         return 0;
     }
 
-    private FailureDomainId roomiest(Map<String, Integer> shares, int targetsPerReplica) {
+    private FailureDomainId domainWithMostFreeTargets(Map<String, Integer> shares, int targetsPerReplica) {
         FailureDomainId best = null;
-        for (FailureDomainId d : free.keySet()) {
-            boolean fits = free.get(d) >= targetsPerReplica;
-            if (fits && (best == null || isRoomier(d, best, shares))) {
+        for (FailureDomainId d : freeTargets.keySet()) {
+            boolean fits = freeTargets.get(d) >= targetsPerReplica;
+            if (fits && (best == null || hasMoreFreeTargets(d, best, shares))) {
                 best = d;
             }
         }
         return best;
     }
 
-    private boolean isRoomier(FailureDomainId a, FailureDomainId b, Map<String, Integer> shares) {
-        int byRoom = Integer.compare(free.get(a), free.get(b));
-        if (byRoom != 0) {
-            return byRoom > 0;
+    private boolean hasMoreFreeTargets(FailureDomainId a, FailureDomainId b, Map<String, Integer> shares) {
+        int byFreeTargets = Integer.compare(freeTargets.get(a), freeTargets.get(b));
+        if (byFreeTargets != 0) {
+            return byFreeTargets > 0;
         }
         return shares.getOrDefault(a.value(), 0) < shares.getOrDefault(b.value(), 0);
     }
--- a/control/src/main/java/org/hallwall/control/ShareDuty.java
+++ b/control/src/main/java/org/hallwall/control/ShareReconciler.java
@@ -35,50 +35,50 @@
 import org.hallwall.resource.ResourceMessage.DomainReport;
 import org.jboss.logging.Logger;
 
-/** Keeps the shares of model groups in the log up to date while this voter leads. */
-public final class ShareDuty implements Closeable {
+/** Reconciles the shares of model groups with the reported targets while this voter is the leader. */
+public final class ShareReconciler implements Closeable {
 
-    private static final Logger LOG = Logger.getLogger(ShareDuty.class);
-    private static final int RING = 16;
-    private static final long TICK_MILLIS = 300;
-    private static final long FRESH_MILLIS = 5_000;
+    private static final Logger LOG = Logger.getLogger(ShareReconciler.class);
+    private static final int QUEUE_CAPACITY = 16;
+    private static final long TICK_INTERVAL_MILLIS = 300;
+    private static final long REPORT_TTL_MILLIS = 5_000;
 
     private final LogVoter voter;
     private final DeclarationMachine machine;
-    private final StatusBoard board;
+    private final ReportRegistry reports;
     private final CommandRouter router;
     private final long darkAfterMillis;
     private final Ticker ticker;
     private final DutyThread duty;
-    private final Map<FailureDomainId, Long> strainedSince = new HashMap<>();
+    private final Map<FailureDomainId, Long> overcommittedSince = new HashMap<>();
 
     /**
-     * Creates the duty; {@link #start()} starts it.
+     * Creates the reconciler; {@link #start()} starts it.
      *
      * @param voter this voter
-     * @param machine the declarations
-     * @param board the reports of the failure domains
+     * @param machine the replicated declarations
+     * @param reports the reports of the failure domains
      * @param router submits changes
-     * @param darkAfterMillis how long a failure domain must be silent, or lack targets, before its shares move
-     * @param ticker the clock
+     * @param darkAfterMillis how long a domain must be without reports, or overcommitted, before its shares move
+     * @param ticker the monotonic clock
      */
-    public ShareDuty(
+    public ShareReconciler(
             LogVoter voter,
             DeclarationMachine machine,
-            StatusBoard board,
+            ReportRegistry reports,
             CommandRouter router,
             long darkAfterMillis,
             Ticker ticker) {
         this.voter = voter;
         this.machine = machine;
-        this.board = board;
+        this.reports = reports;
         this.router = router;
         this.darkAfterMillis = darkAfterMillis;
         this.ticker = ticker;
-        this.duty = new DutyThread("shares", RING, TICK_MILLIS, this::tick);
+        this.duty = new DutyThread("shares", QUEUE_CAPACITY, TICK_INTERVAL_MILLIS, this::tick);
     }
 
-    /** Starts the thread. */
+    /** Starts the reconciler thread. */
     public void start() {
         duty.start();
     }
@@ -90,41 +90,41 @@
 
     private void tick() {
         if (!voter.holdsLease()) {
-            strainedSince.clear();
+            overcommittedSince.clear();
             return;
         }
         List<Resource> groups = machine.list(ResourceKind.MODEL_GROUP);
-        Map<FailureDomainId, Integer> free = free(groups);
-        ShareAssigner assigner = new ShareAssigner(free, strained(free));
+        Map<FailureDomainId, Integer> free = freeTargets(groups);
+        ShareAssigner assigner = new ShareAssigner(free, findOvercommitted(free));
         for (Resource r : groups) {
             ModelGroupSpec spec = r.read(ModelGroupSpec.class);
             Map<String, Integer> wanted = assigner.assign(spec.replicas(), spec.targetsPerReplica(), r.shares());
             if (!wanted.equals(r.shares())) {
-                submit(r, wanted);
+                submitShares(r, wanted);
                 return;
             }
         }
     }
 
-    /** The targets of each usable failure domain, less those that the current shares need. */
-    private Map<FailureDomainId, Integer> free(List<Resource> groups) {
-        Map<FailureDomainId, Integer> needed = needed(groups);
+    /** Returns the targets of each usable failure domain less those required by its current shares. */
+    private Map<FailureDomainId, Integer> freeTargets(List<Resource> groups) {
+        Map<FailureDomainId, Integer> inUse = targetsInUse(groups);
         Map<FailureDomainId, Integer> free = new HashMap<>();
-        for (StatusBoard.Aged<DomainReport> a : board.domains()) {
+        for (ReportRegistry.AgedReport<DomainReport> a : reports.domains()) {
             FailureDomainId domain = a.report().domain();
-            long patience = needed.containsKey(domain) ? darkAfterMillis : FRESH_MILLIS;
-            if (a.ageMillis() < patience) {
-                free.put(domain, a.report().targets() - needed.getOrDefault(domain, 0));
+            long timeout = inUse.containsKey(domain) ? darkAfterMillis : REPORT_TTL_MILLIS;
+            if (a.ageMillis() < timeout) {
+                free.put(domain, a.report().targets() - inUse.getOrDefault(domain, 0));
             }
         }
-        if (board.listeningMillis() < darkAfterMillis) {
-            // A domain that holds shares keeps them until this leader has listened long enough to know that it is dark.
-            needed.forEach((domain, targets) -> free.putIfAbsent(domain, -targets));
+        if (reports.uptimeMillis() < darkAfterMillis) {
+            // Until this voter has run long enough to tell that a domain is unreachable, domains keep their shares.
+            inUse.forEach((domain, targets) -> free.putIfAbsent(domain, -targets));
         }
         return free;
     }
 
-    private static Map<FailureDomainId, Integer> needed(List<Resource> groups) {
+    private static Map<FailureDomainId, Integer> targetsInUse(List<Resource> groups) {
         Map<FailureDomainId, Integer> out = new HashMap<>();
         for (Resource g : groups) {
             int size = g.read(ModelGroupSpec.class).targetsPerReplica();
@@ -133,26 +133,26 @@
         return out;
     }
 
-    private Set<FailureDomainId> strained(Map<FailureDomainId, Integer> free) {
+    private Set<FailureDomainId> findOvercommitted(Map<FailureDomainId, Integer> free) {
         long now = ticker.millis();
-        strainedSince.keySet().removeIf(d -> free.getOrDefault(d, 0) >= 0);
+        overcommittedSince.keySet().removeIf(d -> free.getOrDefault(d, 0) >= 0);
         Set<FailureDomainId> out = new HashSet<>();
         free.forEach((domain, left) -> {
-            if (left < 0 && now - strainedSince.computeIfAbsent(domain, d -> now) >= darkAfterMillis) {
+            if (left < 0 && now - overcommittedSince.computeIfAbsent(domain, d -> now) >= darkAfterMillis) {
                 out.add(domain);
             }
         });
         return out;
     }
 
-    private void submit(Resource r, Map<String, Integer> wanted) {
+    private void submitShares(Resource r, Map<String, Integer> wanted) {
         DeclarationCommand command = new DeclarationCommand(
                 DeclarationCommand.Type.SHARE, r.kind(), r.name(), null, r.resourceVersion(), null, wanted);
         try {
             DeclarationOutcome outcome = router.submit(command).block();
-            LOG.infof("control: shares of %s are %s, %s", r.name(), wanted, outcome.result());
+            LOG.infof("control: set shares of %s to %s: %s", r.name(), wanted, outcome.result());
         } catch (RuntimeException e) {
-            LOG.warnf("control: shares of %s were not set, %s", r.name(), e.getMessage());
+            LOG.warnf("control: failed to set shares of %s: %s", r.name(), e.getMessage());
         }
     }
 }
--- a/control/src/test/java/org/hallwall/control/ShareAssignerTest.java
+++ b/control/src/test/java/org/hallwall/control/ShareAssignerTest.java
@@ -32,41 +32,44 @@
     private static final FailureDomainId B = new FailureDomainId("b");
 
     @Test
-    void spreadsByRoom() {
+    void spreadsByFreeTargets() {
         assertEquals(Map.of("a", 2, "b", 2), assign(Map.of(A, 8, B, 9), Set.of(), 4, Map.of()));
     }
 
-    /** Found by a domain without targets that was heard first and got all replicas for good. */
+    /** Guards against assigning all replicas to a domain without targets that reports first. */
     @Test
-    void givesNothingToADomainWithoutRoom() {
+    void assignsNothingToDomainWithoutFreeTargets() {
         assertEquals(Map.of(), assign(Map.of(A, 0), Set.of(), 2, Map.of()));
         assertEquals(Map.of("b", 2), assign(Map.of(A, 0, B, 5), Set.of(), 2, Map.of()));
     }
 
     @Test
-    void keepsWhatStandsThoughAnotherDomainHasMoreRoom() {
+    void keepsExistingSharesIfAnotherDomainHasMoreFreeTargets() {
         assertEquals(Map.of("a", 2), assign(Map.of(A, 0, B, 50), Set.of(), 2, Map.of("a", 2)));
         assertEquals(Map.of("a", 2), assign(Map.of(A, -2, B, 50), Set.of(), 2, Map.of("a", 2)));
     }
 
     @Test
-    void movesFromAStrainedDomainOneReplicaARound() {
+    void movesOneReplicaPerRoundFromOvercommittedDomain() {
         assertEquals(Map.of("a", 1, "b", 1), assign(Map.of(A, -4, B, 50), Set.of(A), 2, Map.of("a", 2)));
         assertEquals(Map.of("a", 2), assign(Map.of(A, -4, B, 1), Set.of(A), 2, Map.of("a", 2)));
     }
 
     @Test
-    void movesFromADarkDomain() {
+    void movesFromUnreachableDomain() {
         assertEquals(Map.of("b", 2), assign(Map.of(B, 10), Set.of(), 2, Map.of("a", 2)));
     }
 
     @Test
-    void takesAwayWhenFewerAreDeclared() {
+    void reducesSharesIfFewerReplicasAreDeclared() {
         assertEquals(Map.of("a", 1), assign(Map.of(A, 0, B, 0), Set.of(), 1, Map.of("a", 2, "b", 2)));
     }
 
     private static Map<String, Integer> assign(
-            Map<FailureDomainId, Integer> free, Set<FailureDomainId> strained, int replicas, Map<String, Integer> now) {
-        return new ShareAssigner(free, strained).assign(replicas, 2, now);
+            Map<FailureDomainId, Integer> free,
+            Set<FailureDomainId> overcommitted,
+            int replicas,
+            Map<String, Integer> current) {
+        return new ShareAssigner(free, overcommitted).assign(replicas, 2, current);
     }
 }
--- a/integration/src/test/java/org/hallwall/control/ControlJsonTypes.java
+++ b/integration/src/test/java/org/hallwall/control/ControlJsonTypes.java
@@ -34,13 +34,13 @@
         return Map.of(
                 "log command of declarations", DeclarationCommand.class,
                 "outcome of a log command", DeclarationOutcome.class,
-                "snapshot of declarations", DeclarationMachine.Saved.class,
+                "snapshot of declarations", DeclarationMachine.Snapshot.class,
                 "settings of hallwall-control", ControlSettings.class,
                 "status", ControlDaemon.Status.class,
                 "dump of hallwall-control", ControlDaemon.Dump.class,
                 "page of resources", ResourceView.Page.class,
                 "line of a resource watch", ResourceView.WatchLine.class,
                 "declaration", ResourceView.Declaration.class,
-                "report with its age", StatusBoard.Aged.class);
+                "report with its age", ReportRegistry.AgedReport.class);
     }
 }
