--- a/control/src/main/java/org/hallwall/control/ResourceViewFactory.java
+++ b/control/src/main/java/org/hallwall/control/ResourceViewFactory.java
@@ -48,7 +48,7 @@
                 r.name(),
                 r.generation(),
                 r.resourceVersion(),
-                r.tree(),
+                r.specTree(),
                 group ? r.shares() : null,
                 group ? status(r) : null);
     }
@@ -98,7 +98,7 @@
     }
 
     private static List<Condition> conditions(Resource r, int complete, int current, List<String> missing) {
-        int wanted = r.read(ModelGroupSpec.class).replicas();
+        int wanted = r.readSpec(ModelGroupSpec.class).replicas();
         List<Condition> out = new ArrayList<>();
         out.add(new Condition(
                 "Available", complete > 0 || wanted == 0, complete + " of " + wanted + " replicas are available"));
--- a/control/src/main/java/org/hallwall/control/ShareReconciler.java
+++ b/control/src/main/java/org/hallwall/control/ShareReconciler.java
@@ -97,7 +97,7 @@
         Map<FailureDomainId, Integer> free = freeTargets(groups);
         ShareAssigner assigner = new ShareAssigner(free, findOvercommitted(free));
         for (Resource r : groups) {
-            ModelGroupSpec spec = r.read(ModelGroupSpec.class);
+            ModelGroupSpec spec = r.readSpec(ModelGroupSpec.class);
             Map<String, Integer> wanted = assigner.assign(spec.replicas(), spec.targetsPerReplica(), r.shares());
             if (!wanted.equals(r.shares())) {
                 submitShares(r, wanted);
@@ -127,7 +127,7 @@
     private static Map<FailureDomainId, Integer> targetsInUse(List<Resource> groups) {
         Map<FailureDomainId, Integer> out = new HashMap<>();
         for (Resource g : groups) {
-            int size = g.read(ModelGroupSpec.class).targetsPerReplica();
+            int size = g.readSpec(ModelGroupSpec.class).targetsPerReplica();
             g.shares().forEach((domain, share) -> out.merge(new FailureDomainId(domain), share * size, Integer::sum));
         }
         return out;
--- a/domain/src/main/java/org/hallwall/domain/GroupPlanner.java
+++ b/domain/src/main/java/org/hallwall/domain/GroupPlanner.java
@@ -267,7 +267,7 @@
                     return true;
                 }
                 boolean elsewhere = idle.selectFabric(w.spec()) != null;
-                if (!w.spec().repairPolicy().merges() && !elsewhere) {
+                if (!w.spec().repairPolicy().mergesGroups() && !elsewhere) {
                     return false;
                 }
             }
--- a/domain/src/main/java/org/hallwall/domain/IdleTargets.java
+++ b/domain/src/main/java/org/hallwall/domain/IdleTargets.java
@@ -79,7 +79,7 @@
             if (left < 0) {
                 continue;
             }
-            boolean leavesNoSpare = left == 0 && spec.repairPolicy().holdsSpares();
+            boolean leavesNoSpare = left == 0 && spec.repairPolicy().reservesSpares();
             int cost = leavesNoSpare ? Integer.MAX_VALUE - 1 : left;
             if (cost < bestCost) {
                 best = e.getKey();
--- a/resource/src/main/java/org/hallwall/resource/DeclarationCache.java
+++ b/resource/src/main/java/org/hallwall/resource/DeclarationCache.java
@@ -24,17 +24,17 @@
 
 import org.hallwall.resource.ResourceMessage.Changes;
 
-/** The declarations as a process knows them; their version never goes back. Safe for use by several threads. */
+/** Caches the declarations of a process. The version never decreases. Thread-safe. */
 public final class DeclarationCache {
 
     private final Map<String, Resource> resources = new TreeMap<>();
     private volatile Declarations current = new Declarations(0, List.of());
 
     /**
-     * Takes changes; those of an older version are dropped.
+     * Applies changes. Changes of the current or an older version are ignored.
      *
      * @param changes the changes
-     * @return true if they were newer than what is known
+     * @return true if the changes were applied
      */
     public synchronized boolean take(Changes changes) {
         if (changes.version() <= current.version()) {
@@ -52,15 +52,15 @@
                 resources.put(key, r);
             }
         }
-        boolean same = !changes.whole() && changes.events().isEmpty();
-        current = same
-                ? current.at(changes.version())
+        boolean unchanged = !changes.whole() && changes.events().isEmpty();
+        current = unchanged
+                ? current.withVersion(changes.version())
                 : new Declarations(changes.version(), List.copyOf(resources.values()));
         return true;
     }
 
     /**
-     * Gives the declarations in force.
+     * Returns the current declarations.
      *
      * @return the declarations
      */
@@ -69,10 +69,10 @@
     }
 
     /**
-     * Gives all declarations, for a process that knows fewer.
+     * Returns all declarations for a process whose version is older.
      *
-     * @param after the version that it has
-     * @return all declarations, or no changes if it has the same version
+     * @param after the version of that process
+     * @return all declarations, or no events if that version is current
      */
     public Changes changesAfter(long after) {
         Declarations d = current;
--- a/resource/src/main/java/org/hallwall/resource/Declarations.java
+++ b/resource/src/main/java/org/hallwall/resource/Declarations.java
@@ -27,7 +27,7 @@
 import org.hallwall.core.id.ServiceId;
 import org.hallwall.core.id.WorkspaceId;
 
-/** The declarations of one version, with their specs read. Immutable. */
+/** The declarations of one version with their parsed specs. Immutable. */
 public final class Declarations {
 
     private final long version;
@@ -39,7 +39,7 @@
     private final Map<ServiceId, ServiceSpec> services;
 
     /**
-     * Reads the specs.
+     * Parses the specs of all resources.
      *
      * @param version the version
      * @param all the resources
@@ -57,18 +57,18 @@
         }
     }
 
-    private Declarations(long version, Declarations same) {
+    private Declarations(long version, Declarations source) {
         this.version = version;
-        this.all = same.all;
-        this.modelGroups = same.modelGroups;
-        this.modelGroupSpecs = same.modelGroupSpecs;
-        this.workspaces = same.workspaces;
-        this.keys = same.keys;
-        this.services = same.services;
+        this.all = source.all;
+        this.modelGroups = source.modelGroups;
+        this.modelGroupSpecs = source.modelGroupSpecs;
+        this.workspaces = source.workspaces;
+        this.keys = source.keys;
+        this.services = source.services;
     }
 
-    Declarations at(long laterVersion) {
-        return new Declarations(laterVersion, this);
+    Declarations withVersion(long newVersion) {
+        return new Declarations(newVersion, this);
     }
 
     private void add(Resource r) {
@@ -76,10 +76,10 @@
             case MODEL_GROUP -> {
                 ModelGroupId id = new ModelGroupId(r.name());
                 modelGroups.put(id, r);
-                modelGroupSpecs.put(id, r.read(ModelGroupSpec.class));
+                modelGroupSpecs.put(id, r.readSpec(ModelGroupSpec.class));
             }
-            case WORKSPACE -> addWorkspace(new WorkspaceId(r.name()), r.read(WorkspaceSpec.class));
-            case SERVICE -> services.put(new ServiceId(r.name()), r.read(ServiceSpec.class));
+            case WORKSPACE -> addWorkspace(new WorkspaceId(r.name()), r.readSpec(WorkspaceSpec.class));
+            case SERVICE -> services.put(new ServiceId(r.name()), r.readSpec(ServiceSpec.class));
             default -> throw new IllegalStateException("unknown kind " + r.kind());
         }
     }
@@ -92,7 +92,7 @@
     }
 
     /**
-     * Gives the version.
+     * Returns the version.
      *
      * @return the log index of the last change
      */
@@ -101,7 +101,7 @@
     }
 
     /**
-     * Lists all resources.
+     * Returns all resources.
      *
      * @return the resources
      */
@@ -110,7 +110,7 @@
     }
 
     /**
-     * Gives the model groups as resources.
+     * Returns the model groups as resources.
      *
      * @return the model groups
      */
@@ -119,17 +119,17 @@
     }
 
     /**
-     * Finds the spec of a model group.
+     * Returns the spec of a model group.
      *
      * @param id the model group
-     * @return its spec; null if there is none
+     * @return its spec; null if it is not declared
      */
     public ModelGroupSpec modelGroup(ModelGroupId id) {
         return modelGroupSpecs.get(id);
     }
 
     /**
-     * Gives the workspaces.
+     * Returns the workspaces.
      *
      * @return the workspaces
      */
@@ -138,20 +138,20 @@
     }
 
     /**
-     * Finds the workspace of a key.
+     * Returns the workspace to which a key belongs.
      *
-     * @param keySha256 the SHA-256 of the key
-     * @return the workspace; null if there is none
+     * @param keySha256 the SHA-256 hash of the key
+     * @return the workspace; null if the key is unknown
      */
     public WorkspaceId workspaceOf(String keySha256) {
         return keys.get(keySha256);
     }
 
     /**
-     * Finds the spec of a plain service.
+     * Returns the spec of a plain service.
      *
      * @param id the service
-     * @return its spec; null if there is none
+     * @return its spec; null if it is not declared
      */
     public ServiceSpec service(ServiceId id) {
         return services.get(id);
--- a/resource/src/main/java/org/hallwall/resource/EngineRole.java
+++ b/resource/src/main/java/org/hallwall/resource/EngineRole.java
@@ -18,19 +18,19 @@
  */
 package org.hallwall.resource;
 
-/** What part of a run the engines of a group do. */
+/** The phases of inference that the engines of a group perform. */
 public enum EngineRole {
-    /** Reading the prompt and writing the answer. */
+    /** Prefill and decode. */
     BOTH,
-    /** Only reading the prompt. */
+    /** Prefill only. */
     PREFILL,
-    /** Only writing the answer. */
+    /** Decode only. */
     DECODE;
 
     /**
-     * Says whether engines of this role can serve a whole request.
+     * Returns whether engines of this role can serve a request without engines of another role.
      *
-     * @return true if they can
+     * @return true if so
      */
     public boolean servesWhole() {
         return this == BOTH;
--- a/resource/src/main/java/org/hallwall/resource/ModelGroupSpec.java
+++ b/resource/src/main/java/org/hallwall/resource/ModelGroupSpec.java
@@ -21,16 +21,16 @@
 import java.util.List;
 
 /**
- * A declared model group.
+ * The spec of a model group.
  *
  * @param model the name of the model
  * @param version the version of its weights
  * @param adapters the adapters to load
- * @param targetsPerReplica how many targets make one replica
- * @param replicas how many replicas there are over all failure domains
- * @param role what part of a run the engines do
+ * @param targetsPerReplica the number of targets per replica
+ * @param replicas the total number of replicas in all failure domains
+ * @param role the phases of inference that the engines perform
  * @param repairPolicy how a group that has lost a member is repaired
- * @param maxUnavailable how many replicas a change of version may take down at once in a failure domain
+ * @param maxUnavailable the maximum number of replicas per failure domain that are unavailable during a version change
  */
 public record ModelGroupSpec(
         String model,
@@ -42,7 +42,7 @@
         RepairPolicy repairPolicy,
         Integer maxUnavailable) {
 
-    /** Fills in what the declaration leaves out. */
+    /** Applies default values. */
     public ModelGroupSpec {
         adapters = adapters == null ? List.of() : List.copyOf(adapters);
         role = role == null ? EngineRole.BOTH : role;
--- a/resource/src/main/java/org/hallwall/resource/ModelRoute.java
+++ b/resource/src/main/java/org/hallwall/resource/ModelRoute.java
@@ -21,10 +21,10 @@
 import org.hallwall.core.id.ModelGroupId;
 
 /**
- * Routes a model name of a workspace.
+ * Maps a model name of a workspace to a model group.
  *
- * @param name the name that callers use
+ * @param name the model name in requests
  * @param modelGroup the model group that serves it
- * @param adapter the adapter to run with; null for none
+ * @param adapter the adapter to use; null for none
  */
 public record ModelRoute(String name, ModelGroupId modelGroup, String adapter) {}
--- a/resource/src/main/java/org/hallwall/resource/RepairPolicy.java
+++ b/resource/src/main/java/org/hallwall/resource/RepairPolicy.java
@@ -20,25 +20,28 @@
 
 /** How a group that has lost a member is repaired. */
 public enum RepairPolicy {
-    /** Replace the member at once from a spare, and keep spares for it: least group downtime. */
+    /** Replaces the lost member with a spare and reserves spares for this, to minimize group downtime. */
     GROUP_DOWNTIME(true, true, false),
-    /** Replace from whatever is idle; dissolve the group where its members complete another: least stranded. */
+    /**
+     * Replaces the lost member with any idle target and dissolves an incomplete group so that its members can complete
+     * another one, to minimize stranded accelerators.
+     */
     STRANDED_ACCELERATORS(true, false, true),
-    /** Rebuild the whole group: the baseline that the others are measured against. */
+    /** Dissolves the group and forms a new one; the baseline for comparison of the other policies. */
     REBUILD(false, false, false);
 
     private final boolean replacesMembers;
-    private final boolean holdsSpares;
-    private final boolean merges;
+    private final boolean reservesSpares;
+    private final boolean mergesGroups;
 
-    RepairPolicy(boolean replacesMembers, boolean holdsSpares, boolean merges) {
+    RepairPolicy(boolean replacesMembers, boolean reservesSpares, boolean mergesGroups) {
         this.replacesMembers = replacesMembers;
-        this.holdsSpares = holdsSpares;
-        this.merges = merges;
+        this.reservesSpares = reservesSpares;
+        this.mergesGroups = mergesGroups;
     }
 
     /**
-     * Says whether the surviving members keep what they have loaded.
+     * Returns whether only the lost members are replaced, so that the others keep their weights loaded.
      *
      * @return true if only the lost members are replaced
      */
@@ -47,20 +50,20 @@
     }
 
     /**
-     * Says whether one idle target a fabric domain is kept back for repairs.
+     * Returns whether one idle target per fabric domain is reserved for repairs.
      *
-     * @return true if spares are held
+     * @return true if spares are reserved
      */
-    public boolean holdsSpares() {
-        return holdsSpares;
+    public boolean reservesSpares() {
+        return reservesSpares;
     }
 
     /**
-     * Says whether an incomplete group is dissolved when its members complete another one.
+     * Returns whether an incomplete group is dissolved to complete another one with its members.
      *
      * @return true if incomplete groups are merged
      */
-    public boolean merges() {
-        return merges;
+    public boolean mergesGroups() {
+        return mergesGroups;
     }
 }
--- a/resource/src/main/java/org/hallwall/resource/Resource.java
+++ b/resource/src/main/java/org/hallwall/resource/Resource.java
@@ -23,14 +23,14 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * A declared resource as it is stored.
+ * A declared resource in its stored form.
  *
  * @param kind its kind
  * @param name its name
- * @param generation how often its spec has changed, from 1
+ * @param generation the generation of its spec, starting at 1 and incremented with each change
  * @param resourceVersion the log index of its last change
  * @param spec the declared spec, as JSON text
- * @param shares of a model group, the replicas given to each failure domain; empty for other kinds
+ * @param shares for a model group, the replicas assigned to each failure domain; empty for other kinds
  */
 public record Resource(
         ResourceKind kind,
@@ -40,29 +40,30 @@
         String spec,
         Map<String, Integer> shares) {
 
-    /** Fills in what is left out. */
+    /** Applies default values. */
     public Resource {
         shares = shares == null ? Map.of() : Map.copyOf(shares);
     }
 
     /**
-     * Reads the spec.
+     * Parses the spec.
      *
      * @param type the type of the spec
      * @param <T> the type of the spec
      * @return the spec
-     * @throws IllegalStateException if the stored text is not a spec of that type, which the check at the API rules out
+     * @throws IllegalStateException if the stored text is not a spec of that type; the API validates specs before they
+     *     are stored
      */
-    public <T> T read(Class<T> type) {
-        return ResourceText.read(spec, type);
+    public <T> T readSpec(Class<T> type) {
+        return SpecReader.read(spec, type);
     }
 
     /**
-     * Reads the spec as a tree.
+     * Parses the spec as a JSON tree.
      *
      * @return the spec
      */
-    public JsonNode tree() {
-        return ResourceText.read(spec, JsonNode.class);
+    public JsonNode specTree() {
+        return SpecReader.read(spec, JsonNode.class);
     }
 }
--- a/resource/src/main/java/org/hallwall/resource/ResourceKind.java
+++ b/resource/src/main/java/org/hallwall/resource/ResourceKind.java
@@ -24,7 +24,7 @@
 import org.hallwall.core.settings.SettingsFault;
 import org.hallwall.core.settings.SettingsSchema;
 
-/** The kinds of resource, each with its schema and its name in paths. */
+/** The kinds of resources, with their JSON schema and their names in declarations and paths. */
 public enum ResourceKind {
     MODEL_GROUP("ModelGroup", "modelgroups", "modelgroup.schema.json"),
     WORKSPACE("Workspace", "workspaces", "workspace.schema.json"),
@@ -41,10 +41,10 @@
     }
 
     /**
-     * Finds a kind by its name in declarations.
+     * Returns a kind by its name in declarations.
      *
      * @param label the name, such as {@code ModelGroup}
-     * @return the kind; null if there is none
+     * @return the kind; null if the name is unknown
      */
     public static ResourceKind byLabel(String label) {
         for (ResourceKind k : values()) {
@@ -56,10 +56,10 @@
     }
 
     /**
-     * Finds a kind by its name in paths.
+     * Returns a kind by its name in paths.
      *
      * @param plural the name, such as {@code modelgroups}
-     * @return the kind; null if there is none
+     * @return the kind; null if the name is unknown
      */
     public static ResourceKind byPlural(String plural) {
         for (ResourceKind k : values()) {
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Gives the name in declarations.
+     * Returns the name in declarations.
      *
      * @return the name
      */
@@ -80,7 +80,7 @@
     }
 
     /**
-     * Gives the name in paths.
+     * Returns the name in paths.
      *
      * @return the name
      */
@@ -89,10 +89,10 @@
     }
 
     /**
-     * Checks a spec.
+     * Validates a spec against the schema of this kind.
      *
      * @param spec the spec
-     * @return every fault; empty if the spec is valid
+     * @return all validation errors; empty if the spec is valid
      */
     public List<SettingsFault> check(JsonNode spec) {
         return schema.check(spec);
--- a/resource/src/main/java/org/hallwall/resource/ResourceMessage.java
+++ b/resource/src/main/java/org/hallwall/resource/ResourceMessage.java
@@ -31,9 +31,9 @@
 public sealed interface ResourceMessage extends PeerMessage {
 
     /**
-     * Registers the kinds of message.
+     * Registers the message types of this interface.
      *
-     * @param kinds where to register them
+     * @param kinds the registry of message types
      */
     static void register(PeerKinds kinds) {
         kinds.add(20, Watch.class)
@@ -49,29 +49,29 @@
     }
 
     /**
-     * Asks a voter for the changes after a version; the voter waits a while for one.
+     * Requests the changes after a version (long poll).
      *
-     * @param after the version that the asker has
-     * @param waitMillis how long the voter may wait
+     * @param after the version of the sender
+     * @param waitMillis the maximum time that the voter waits for a change
      */
     record Watch(long after, long waitMillis) implements ResourceMessage {}
 
     /**
-     * Answers a watch.
+     * The response to {@link Watch}.
      *
-     * @param version the voter's applied version; if it is lower than asked, the voter is behind
-     * @param whole whether {@code events} hold all resources instead of the changes since
+     * @param version the voter's applied version; if it is lower than requested, the voter lags behind
+     * @param whole whether {@code events} contains all resources instead of incremental changes
      * @param events the changes, or all resources
      */
     record Changes(long version, boolean whole, List<ResourceEvent> events) implements ResourceMessage {}
 
     /**
-     * Reports which version an entry has in force.
+     * Reports the version of the declarations at an entry.
      *
      * @param entry the entry
      * @param domain its failure domain
-     * @param version the version in force
-     * @param mayBeOld whether no voter could be reached lately
+     * @param version the version
+     * @param mayBeOld whether the version may be outdated because no voter could be reached recently
      */
     record EntryReport(InstanceId entry, FailureDomainId domain, long version, boolean mayBeOld)
             implements ResourceMessage {}
@@ -80,12 +80,12 @@
      * Reports the groups of a failure domain.
      *
      * @param domain the failure domain
-     * @param controller the controller
+     * @param controller the domain controller
      * @param term its lease term
-     * @param targets how many targets are known
-     * @param accelerators how many accelerators they have
-     * @param strandedAccelerators how many healthy accelerators sit outside any complete group
-     * @param strandedAcceleratorSeconds the sum over time since this controller began
+     * @param targets the number of live targets that are not leaving
+     * @param accelerators the number of accelerators of these targets
+     * @param strandedAccelerators the number of healthy accelerators that belong to no complete group
+     * @param strandedAcceleratorSeconds the stranded accelerators, accumulated over time
      * @param groups the state of each model group
      */
     record DomainReport(
@@ -100,58 +100,59 @@
             implements ResourceMessage {}
 
     /**
-     * Counts the groups of one model group in one failure domain.
+     * The state of one model group in one failure domain.
      *
-     * @param generation the generation that the controller works towards
-     * @param wanted the replicas wanted
-     * @param complete the complete groups
-     * @param current the complete groups of the declared version
-     * @param downtimeSeconds the time that wanted groups could not serve, since this controller began
+     * @param generation the generation observed by the controller
+     * @param wanted the desired number of replicas
+     * @param complete the number of complete groups
+     * @param current the number of complete groups that have the declared version
+     * @param downtimeSeconds the accumulated downtime of desired groups, in seconds
      */
     record GroupCount(long generation, int wanted, int complete, int current, double downtimeSeconds) {}
 
     /**
-     * Hands a command to the leader.
+     * Forwards a command to the leader.
      *
-     * @param command the command
+     * @param command the serialized command
      */
     record Command(byte[] command) implements ResourceMessage {}
 
     /**
-     * Answers a command.
+     * The response to {@link Command}.
      *
-     * @param outcome the outcome; null if there is none
-     * @param verdict if there is no outcome, whether the command may be committed
-     * @param detail if there is no outcome, one sentence
+     * @param outcome the serialized outcome; null if the command failed
+     * @param verdict if the command failed, whether it may have been committed
+     * @param detail if the command failed, the error message
      */
     record CommandReply(byte[] outcome, Verdict verdict, String detail) implements ResourceMessage {}
 
     /**
-     * Tells the voters that the entries of a failure domain have started and remember nothing.
+     * Registers that all entries of a failure domain have started without any state.
      *
      * @param domain the failure domain
-     * @param boots the boots of all its entries; empty to ask only
+     * @param boots the boot identifiers of all its entries; empty to query the registered ones only
      */
     record FormDomain(FailureDomainId domain, List<String> boots) implements ResourceMessage {}
 
     /**
-     * Says with which boots the failure domain was first formed.
+     * The response to {@link FormDomain}.
      *
-     * @param boots the boots; empty if no quorum of voters answered
+     * @param boots the boot identifiers with which the failure domain was first formed; empty if there are none or no
+     *     quorum of voters responded
      */
     record FormedDomain(List<String> boots) implements ResourceMessage {}
 
     /**
-     * Asks the leader for the index that a read must wait for.
+     * Requests the read index from the leader: a read is linearizable once this index is applied.
      *
-     * @param askedAt the asker's clock
+     * @param askedAt the time of the request on the clock of the sender
      */
     record ReadIndex(long askedAt) implements ResourceMessage {}
 
     /**
-     * Answers the question for an index.
+     * The response to {@link ReadIndex}.
      *
-     * @param index the index; zero if the asked voter does not lead
+     * @param index the index; zero if the voter is not a leader with a quorum
      */
     record ReadIndexReply(long index) implements ResourceMessage {}
 }
--- a/resource/src/main/java/org/hallwall/resource/ServiceSpec.java
+++ b/resource/src/main/java/org/hallwall/resource/ServiceSpec.java
@@ -21,19 +21,19 @@
 import java.util.List;
 
 /**
- * A declared plain service; its targets announce themselves under its name.
+ * The spec of a plain service. Targets of the service announce themselves under its name.
  *
- * @param repeatableMethods the HTTP methods whose calls may be repeated
- * @param timeoutMillis how long a call may take, in milliseconds
+ * @param repeatableMethods the HTTP methods that may be retried
+ * @param timeoutMillis the timeout of a call, in milliseconds
  */
 public record ServiceSpec(List<String> repeatableMethods, Integer timeoutMillis) {
 
-    private static final List<String> USUAL = List.of("GET", "HEAD", "OPTIONS", "PUT", "DELETE");
-    private static final int USUAL_TIMEOUT_MILLIS = 30_000;
+    private static final List<String> DEFAULT_REPEATABLE_METHODS = List.of("GET", "HEAD", "OPTIONS", "PUT", "DELETE");
+    private static final int DEFAULT_TIMEOUT_MILLIS = 30_000;
 
-    /** Fills in what the declaration leaves out. */
+    /** Applies default values. */
     public ServiceSpec {
-        repeatableMethods = repeatableMethods == null ? USUAL : List.copyOf(repeatableMethods);
-        timeoutMillis = timeoutMillis == null ? USUAL_TIMEOUT_MILLIS : timeoutMillis;
+        repeatableMethods = repeatableMethods == null ? DEFAULT_REPEATABLE_METHODS : List.copyOf(repeatableMethods);
+        timeoutMillis = timeoutMillis == null ? DEFAULT_TIMEOUT_MILLIS : timeoutMillis;
     }
 }
--- a/resource/src/main/java/org/hallwall/resource/ResourceText.java
+++ b/resource/src/main/java/org/hallwall/resource/SpecReader.java
@@ -21,16 +21,16 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import org.hallwall.core.settings.Json;
 
-/** Reads the JSON text of stored specs. */
-final class ResourceText {
+/** Parses the JSON text of stored specs. */
+final class SpecReader {
 
-    private ResourceText() {}
+    private SpecReader() {}
 
     static <T> T read(String text, Class<T> type) {
         try {
             return Json.MAPPER.readValue(text, type);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a stored spec cannot be read", e);
+            throw new IllegalStateException("failed to parse stored spec", e);
         }
     }
 }
--- a/resource/src/main/java/org/hallwall/resource/WorkspaceSpec.java
+++ b/resource/src/main/java/org/hallwall/resource/WorkspaceSpec.java
@@ -23,14 +23,14 @@
 import org.hallwall.core.id.ServiceId;
 
 /**
- * A declared workspace.
+ * The spec of a workspace.
  *
- * @param keySha256 the SHA-256 of each key, in lower-case hexadecimal
- * @param models the models that its callers may use
- * @param services the plain services that its callers may use
- * @param requestsPerSecond its limit of requests a second over all entries of a failure domain; null for none
- * @param tokensPerSecond its limit of generated tokens a second over all entries; null for none
- * @param maxQueued how many of its requests may wait at one entry; null for the entry's own bound
+ * @param keySha256 the SHA-256 hashes of its API keys, in lowercase hexadecimal
+ * @param models the models available to its callers
+ * @param services the plain services available to its callers
+ * @param requestsPerSecond the request rate limit over all entries of a failure domain; null for no limit
+ * @param tokensPerSecond the rate limit of generated tokens over all entries; null for no limit
+ * @param maxQueued the maximum number of its queued requests per entry; null for the limit of the entry
  */
 public record WorkspaceSpec(
         List<String> keySha256,
@@ -40,7 +40,7 @@
         Double tokensPerSecond,
         Integer maxQueued) {
 
-    /** Fills in what the declaration leaves out. */
+    /** Applies default values. */
     public WorkspaceSpec {
         keySha256 = List.copyOf(keySha256);
         models = models == null ? List.of() : List.copyOf(models);
--- a/resource/src/main/java/org/hallwall/resource/package-info.java
+++ b/resource/src/main/java/org/hallwall/resource/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** The resources that operators declare, and the messages that spread them and report their status. */
+/** The resources that operators declare and the messages that distribute them and report their status. */
 package org.hallwall.resource;
