--- a/engine/src/main/java/org/hallwall/engine/Announcement.java
+++ b/engine/src/main/java/org/hallwall/engine/Announcement.java
@@ -30,25 +30,25 @@
 import org.hallwall.core.settings.NetAddress;
 
 /**
- * What a target says of itself, about twice a second.
+ * The state of a target, sent by the target about twice a second.
  *
  * @param instance the target
- * @param boot a random text that changes when the target restarts
- * @param sequence a number that grows with each announcement of one boot
+ * @param boot a random identifier that changes when the target restarts
+ * @param sequence a sequence number that increases with each announcement of one boot
  * @param failureDomain its failure domain
  * @param fabricDomain its fabric domain; null for a plain service
- * @param accelerators how many accelerators it has
- * @param address where it takes orders, runs or calls
- * @param checksFencing whether it refuses an order with an old fencing number
- * @param service the plain service that it offers; null for a model engine
- * @param membership the group it is in; null if none
- * @param fencing the highest fencing number it has taken
- * @param model the model whose weights it holds; null if none
- * @param version the version of these weights; null if none
- * @param adapters the adapters that it holds
- * @param role the role that it was ordered to have; null if none
- * @param load its load
- * @param leaving whether it is about to stop and must get no new work
+ * @param accelerators the number of its accelerators
+ * @param address the address at which it accepts orders, runs or calls
+ * @param checksFencing whether it rejects orders with an outdated fencing number
+ * @param service the plain service that it provides; null for a model engine
+ * @param membership the group to which it belongs; null if none
+ * @param fencing the highest fencing number that it has accepted
+ * @param model the model whose weights are loaded; null if none
+ * @param version the version of the loaded weights; null if none
+ * @param adapters the loaded adapters
+ * @param role the role assigned by its last order; null if none
+ * @param load its current load
+ * @param leaving whether it is about to stop and must receive no new work
  */
 public record Announcement(
         InstanceId instance,
@@ -70,7 +70,7 @@
         boolean leaving) {
 
     /**
-     * Gives the same announcement with another sequence and load.
+     * Returns a copy of this announcement with another sequence and load.
      *
      * @param newSequence the sequence
      * @param newLoad the load
@@ -98,7 +98,8 @@
     }
 
     /**
-     * Hashes all but the sequence and the load; the same in every process.
+     * Returns a hash of the announcement without its sequence and its running and queued runs. The hash is the same in
+     * every process.
      *
      * @return the hash
      */
@@ -107,10 +108,10 @@
         return MurmurHash3.hash32x86(text);
     }
 
-    /** Fills in what an announcement leaves out. */
+    /** Validates required values and applies default values. */
     public Announcement {
         if (instance == null || boot == null || failureDomain == null || address == null) {
-            throw new IllegalArgumentException("instance, boot, failureDomain and address are needed");
+            throw new IllegalArgumentException("instance, boot, failureDomain and address are required");
         }
         fencing = fencing == null ? FencingNumber.NONE : fencing;
         adapters = adapters == null ? List.of() : List.copyOf(adapters);
--- a/engine/src/main/java/org/hallwall/engine/EngineClient.java
+++ b/engine/src/main/java/org/hallwall/engine/EngineClient.java
@@ -42,26 +42,26 @@
 import reactor.netty.http.client.HttpClientResponse;
 import reactor.netty.resources.ConnectionProvider;
 
-/** Calls engines over HTTP; the one place that knows how. */
+/** The HTTP client for engines. */
 public final class EngineClient {
 
     private static final Duration ORDER_TIMEOUT = Duration.ofSeconds(1);
     private static final Duration CANCEL_TIMEOUT = Duration.ofSeconds(1);
-    private static final int CONNECT_MILLIS = 500;
+    private static final int CONNECT_TIMEOUT_MILLIS = 500;
     private static final int MAX_CONNECTIONS = 4_096;
-    private static final Duration IDLE = Duration.ofSeconds(20);
+    private static final Duration MAX_IDLE_TIME = Duration.ofSeconds(20);
 
     private final HttpClient http;
 
-    /** Creates a client with its own connections. */
+    /** Creates a client with its own connection pool. */
     public EngineClient() {
         ConnectionProvider provider = ConnectionProvider.builder("engines")
                 .maxConnections(MAX_CONNECTIONS)
                 .pendingAcquireMaxCount(MAX_CONNECTIONS)
-                .maxIdleTime(IDLE)
+                .maxIdleTime(MAX_IDLE_TIME)
                 .build();
         this.http = HttpClient.create(provider)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .disableRetry(true);
     }
 
@@ -70,7 +70,7 @@
      *
      * @param address the target
      * @param order the order
-     * @return the end of the call, or an {@link EngineException}
+     * @return completion, or an {@link EngineException}
      */
     public Mono<Void> order(NetAddress address, EngineOrder order) {
         return http.post()
@@ -78,9 +78,9 @@
                 .send(body(order))
                 .responseSingle((res, bytes) -> bytes.asString()
                         .defaultIfEmpty("")
-                        .flatMap(text -> isOk(res) ? Mono.<Void>empty() : Mono.error(refused(res, text))))
+                        .flatMap(text -> isOk(res) ? Mono.<Void>empty() : Mono.error(refusal(res, text))))
                 .timeout(ORDER_TIMEOUT)
-                .onErrorMap(EngineClient::failure);
+                .onErrorMap(EngineClient::toEngineException);
     }
 
     /**
@@ -88,34 +88,34 @@
      *
      * @param address the first member of the group
      * @param run the run
-     * @return the frames as they come, in small batches, or an {@link EngineException}
+     * @return the frames in batches as they are received, or an {@link EngineException}
      */
     public Flux<List<RunFrame>> run(NetAddress address, EngineRun run) {
         return http.headers(h -> h.set("Content-Type", "application/json"))
                 .post()
                 .uri(uri(address, EnginePaths.RUNS))
                 .send(body(run))
-                .response(EngineClient::frames)
-                .onErrorMap(EngineClient::failure);
+                .response(EngineClient::decodeFrames)
+                .onErrorMap(EngineClient::toEngineException);
     }
 
     /**
-     * Goes on with a run whose connection broke.
+     * Resumes a run after a lost connection.
      *
      * @param address the first member of the group
      * @param attempt the attempt
-     * @param from the number of the first frame wanted
-     * @return the frames as they come, or an {@link EngineException}
+     * @param from the number of the first frame to receive
+     * @return the frames in batches as they are received, or an {@link EngineException}
      */
     public Flux<List<RunFrame>> resume(NetAddress address, AttemptId attempt, int from) {
         return http.get()
                 .uri(uri(address, EnginePaths.RUNS + "/" + attempt + "?from=" + from))
-                .response(EngineClient::frames)
-                .onErrorMap(EngineClient::failure);
+                .response(EngineClient::decodeFrames)
+                .onErrorMap(EngineClient::toEngineException);
     }
 
     /**
-     * Cancels a run, or makes sure that it never starts.
+     * Cancels a run. A run that has not started yet is rejected if it arrives later.
      *
      * @param address the first member of the group
      * @param attempt the attempt
@@ -124,22 +124,23 @@
     public Mono<RunCancelled> cancel(NetAddress address, AttemptId attempt) {
         return http.delete()
                 .uri(uri(address, EnginePaths.RUNS + "/" + attempt))
-                .responseSingle((res, bytes) -> bytes.asString().flatMap(EngineClient::cancelled))
+                .responseSingle((res, bytes) -> bytes.asString().flatMap(EngineClient::parseCancelled))
                 .timeout(CANCEL_TIMEOUT)
-                .onErrorMap(EngineClient::failure);
+                .onErrorMap(EngineClient::toEngineException);
     }
 
-    private static Mono<RunCancelled> cancelled(String text) {
+    private static Mono<RunCancelled> parseCancelled(String text) {
         try {
             return Mono.just(Json.MAPPER.readValue(text, RunCancelled.class));
         } catch (JsonProcessingException e) {
-            return Mono.error(new EngineException(Verdict.MAY_HAVE_RUN, "the answer to a cancel is malformed"));
+            return Mono.error(new EngineException(
+                    Verdict.MAY_HAVE_RUN, "the engine sent a malformed response to a cancellation"));
         }
     }
 
-    private static Flux<List<RunFrame>> frames(HttpClientResponse res, ByteBufFlux bytes) {
+    private static Flux<List<RunFrame>> decodeFrames(HttpClientResponse res, ByteBufFlux bytes) {
         if (!isOk(res)) {
-            return bytes.aggregate().asString().defaultIfEmpty("").flux().flatMap(t -> Flux.error(refused(res, t)));
+            return bytes.aggregate().asString().defaultIfEmpty("").flux().flatMap(t -> Flux.error(refusal(res, t)));
         }
         RunFrameDecoder decoder = new RunFrameDecoder();
         return bytes.handle((b, sink) -> {
@@ -158,22 +159,25 @@
         return res.status().codeClass() == HttpStatusClass.SUCCESS;
     }
 
-    /** By the engine interface, an engine that answers with an error status has not started the run. */
-    private static EngineException refused(HttpClientResponse res, String text) {
+    /**
+     * Converts an error response. By the engine interface, an error status other than 404 means that the run was not
+     * started.
+     */
+    private static EngineException refusal(HttpClientResponse res, String text) {
         HttpResponseStatus status = res.status();
         boolean unknownRun = status.code() == HttpResponseStatus.NOT_FOUND.code();
         Verdict verdict = unknownRun ? Verdict.MAY_HAVE_RUN : Verdict.NOT_RUN;
-        return new EngineException(verdict, "the engine answered " + status.code() + " " + text.strip());
+        return new EngineException(verdict, "the engine responded with status " + status.code() + " " + text.strip());
     }
 
-    private static Throwable failure(Throwable e) {
+    private static Throwable toEngineException(Throwable e) {
         if (e instanceof EngineException) {
             return e;
         }
         if (e instanceof ConnectException || e instanceof ConnectTimeoutException) {
-            return new EngineException(Verdict.NOT_RUN, "the engine cannot be reached");
+            return new EngineException(Verdict.NOT_RUN, "the engine is unreachable");
         }
-        return new EngineException(Verdict.MAY_HAVE_RUN, "the connection to the engine broke: " + e.getMessage());
+        return new EngineException(Verdict.MAY_HAVE_RUN, "the connection to the engine failed: " + e.getMessage());
     }
 
     private static Mono<ByteBuf> body(Object value) {
--- a/engine/src/main/java/org/hallwall/engine/EngineException.java
+++ b/engine/src/main/java/org/hallwall/engine/EngineException.java
@@ -31,7 +31,7 @@
      * Creates the exception.
      *
      * @param verdict whether the engine may have acted on the call
-     * @param message one sentence
+     * @param message the detail message
      */
     public EngineException(Verdict verdict, String message) {
         super(message);
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Says whether the engine may have acted on the call.
+     * Returns whether the engine may have acted on the call.
      *
      * @return the verdict
      */
--- a/engine/src/main/java/org/hallwall/engine/EngineOrder.java
+++ b/engine/src/main/java/org/hallwall/engine/EngineOrder.java
@@ -27,13 +27,13 @@
 import org.hallwall.core.settings.NetAddress;
 
 /**
- * An order to a target.
+ * An order to a target to join or leave a group.
  *
- * @param kind what to do
+ * @param kind the kind of order
  * @param group the group to join; for a leave, the group to leave
  * @param modelGroup the model group that the group serves; null for a leave
- * @param fencing the fencing number; a target that checks it refuses a lower one than it holds
- * @param expiresAt when the order loses force, in milliseconds since 1970
+ * @param fencing the fencing number; a target that checks it rejects a number lower than its own
+ * @param expiresAt the expiration time, in milliseconds since the Unix epoch
  * @param members the members in order of rank; empty for a leave
  * @param model the model to load; null for a leave
  * @param version the version to load; null for a leave
@@ -52,17 +52,17 @@
         List<String> adapters,
         String role) {
 
-    /** Fills in what an order leaves out. */
+    /** Applies default values. */
     public EngineOrder {
         members = members == null ? List.of() : List.copyOf(members);
         adapters = adapters == null ? List.of() : List.copyOf(adapters);
     }
 
-    /** What an order asks for. */
+    /** The kind of an order. */
     public enum Kind {
-        /** Be a member of the group and load what it needs. */
+        /** Join the group and load its model and adapters. */
         JOIN,
-        /** Be in no group. */
+        /** Leave the group. */
         LEAVE
     }
 
--- a/engine/src/main/java/org/hallwall/engine/EnginePaths.java
+++ b/engine/src/main/java/org/hallwall/engine/EnginePaths.java
@@ -21,16 +21,16 @@
 /** The paths of the engine interface. */
 public final class EnginePaths {
 
-    /** Where targets announce themselves, at an entry. */
+    /** The path at an entry to which targets send announcements. */
     public static final String ANNOUNCEMENTS = "/targets/v1/announcements";
 
-    /** Where an engine takes runs. */
+    /** The path at an engine for runs. */
     public static final String RUNS = "/engine/v1/runs";
 
-    /** Where an engine takes orders. */
+    /** The path at an engine for orders. */
     public static final String ORDERS = "/engine/v1/orders";
 
-    /** Where a member tells another which group it is in. */
+    /** The path at an engine to which other members send their membership. */
     public static final String MEMBERSHIP = "/engine/v1/membership";
 
     private EnginePaths() {}
--- a/engine/src/main/java/org/hallwall/engine/EngineRun.java
+++ b/engine/src/main/java/org/hallwall/engine/EngineRun.java
@@ -23,15 +23,15 @@
 import org.hallwall.core.id.GroupId;
 
 /**
- * Asks the first member of a group to run a request.
+ * A request to the first member of a group to start a run.
  *
- * @param attempt the attempt; echoed in each frame
- * @param group the group as the sender knows it; the engine refuses another one
+ * @param attempt the identifier of the attempt; echoed in each frame
+ * @param group the group known to the sender; the engine rejects the run if it belongs to another one
  * @param fencing the group's fencing number
- * @param adapter the adapter to run with; null for none
- * @param prompt the whole prompt
- * @param maxTokens the most tokens to generate
- * @param priority the priority, higher first
+ * @param adapter the adapter to use; null for none
+ * @param prompt the complete prompt
+ * @param maxTokens the maximum number of tokens to generate
+ * @param priority the priority; runs with a higher value are scheduled first
  */
 public record EngineRun(
         AttemptId attempt,
--- a/engine/src/main/java/org/hallwall/engine/GroupMembership.java
+++ b/engine/src/main/java/org/hallwall/engine/GroupMembership.java
@@ -26,18 +26,18 @@
 import org.hallwall.core.id.ModelGroupId;
 
 /**
- * The group that a target is in.
+ * The membership of a target in a group.
  *
  * @param group the group
  * @param modelGroup the model group that it serves
- * @param fencing the fencing number of the order that made it
- * @param members all members in order of rank; the first one takes runs
- * @param loaded whether this target has loaded what the order asks for
+ * @param fencing the fencing number of the order that formed the group
+ * @param members all members in order of rank; the first one accepts runs
+ * @param loaded whether this target has loaded the ordered model and adapters
  */
 public record GroupMembership(
         GroupId group, ModelGroupId modelGroup, FencingNumber fencing, List<InstanceId> members, boolean loaded) {
 
-    /** Copies the members. */
+    /** Makes the list of members immutable. */
     public GroupMembership {
         members = List.copyOf(members);
     }
--- a/engine/src/main/java/org/hallwall/engine/RunCancelled.java
+++ b/engine/src/main/java/org/hallwall/engine/RunCancelled.java
@@ -19,8 +19,8 @@
 package org.hallwall.engine;
 
 /**
- * Answers a cancel.
+ * The response to the cancellation of a run.
  *
- * @param started whether the engine had started the run; if not, it will refuse it from now on
+ * @param started whether the engine had started the run; if not, it rejects the run from now on
  */
 public record RunCancelled(boolean started) {}
--- a/engine/src/main/java/org/hallwall/engine/RunFrame.java
+++ b/engine/src/main/java/org/hallwall/engine/RunFrame.java
@@ -22,32 +22,32 @@
 import org.hallwall.core.id.AttemptId;
 
 /**
- * One frame of a run's answer, as one line of JSON.
+ * A frame of the output of a run, encoded as one line of JSON.
  *
- * @param attempt the attempt that it belongs to
- * @param n its number, from 0
+ * @param attempt the attempt to which it belongs
+ * @param n its number, starting at 0
  * @param text the generated text; null in the last frame
  * @param end how the run ended; null in all frames but the last
- * @param usage the tokens used; only in the last frame
+ * @param usage the token usage; null in all frames but the last
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 public record RunFrame(AttemptId attempt, int n, String text, End end, Usage usage) {
 
     /** How a run ended. */
     public enum End {
-        /** The answer is whole. */
+        /** The output is complete. */
         STOP,
-        /** The answer has reached the most tokens; it is whole in that sense. */
+        /** The output reached the maximum number of tokens; it counts as complete. */
         LENGTH,
-        /** The engine failed; the answer is not whole. */
+        /** The engine failed; the output is incomplete. */
         ERROR,
-        /** The run was cancelled; the answer is not whole. */
+        /** The run was cancelled; the output is incomplete. */
         CANCELLED;
 
         /**
-         * Says whether the answer is whole.
+         * Returns whether the output is complete.
          *
-         * @return true if it is
+         * @return true if so
          */
         public boolean isWhole() {
             return this == STOP || this == LENGTH;
@@ -55,11 +55,11 @@
     }
 
     /**
-     * The tokens used by a run.
+     * The token usage of a run.
      *
-     * @param promptTokens the tokens of the prompt
-     * @param cachedTokens how many of them the prefix cache held
-     * @param completionTokens the tokens generated
+     * @param promptTokens the number of prompt tokens
+     * @param cachedTokens the number of prompt tokens found in the prefix cache
+     * @param completionTokens the number of generated tokens
      */
     public record Usage(int promptTokens, int cachedTokens, int completionTokens) {}
 }
--- a/engine/src/main/java/org/hallwall/engine/RunFrameDecoder.java
+++ b/engine/src/main/java/org/hallwall/engine/RunFrameDecoder.java
@@ -27,47 +27,47 @@
 import io.netty.buffer.ByteBuf;
 import org.hallwall.core.settings.Json;
 
-/** Cuts the bytes of a run's answer into frames; a frame may span several buffers. */
+/** Decodes the byte stream of a run into frames. A frame may span several buffers. */
 public final class RunFrameDecoder {
 
-    /** The longest frame that is accepted, in bytes. */
+    /** The maximum size of a frame, in bytes. */
     public static final int MAX_FRAME = 1024 * 1024;
 
     private static final ObjectReader READER = Json.MAPPER.readerFor(RunFrame.class);
     private static final byte NEWLINE = '\n';
 
-    private byte[] rest = new byte[0];
+    private byte[] remainder = new byte[0];
 
     /**
-     * Takes the next bytes.
+     * Decodes the next buffer.
      *
-     * @param bytes the bytes; not released here
-     * @return the frames that are complete now
-     * @throws IOException if a frame is malformed or too long
+     * @param bytes the buffer; the caller releases it
+     * @return the frames completed by this buffer
+     * @throws IOException if a frame is malformed or too large
      */
     public List<RunFrame> take(ByteBuf bytes) throws IOException {
-        byte[] all = join(bytes);
+        byte[] buffer = appendToRemainder(bytes);
         List<RunFrame> frames = new ArrayList<>();
-        int start = 0;
-        for (int i = 0; i < all.length; i++) {
-            if (all[i] == NEWLINE) {
-                if (i > start) {
-                    frames.add(READER.readValue(all, start, i - start));
+        int frameStart = 0;
+        for (int i = 0; i < buffer.length; i++) {
+            if (buffer[i] == NEWLINE) {
+                if (i > frameStart) {
+                    frames.add(READER.readValue(buffer, frameStart, i - frameStart));
                 }
-                start = i + 1;
+                frameStart = i + 1;
             }
         }
-        rest = Arrays.copyOfRange(all, start, all.length);
-        if (rest.length > MAX_FRAME) {
-            throw new IOException("a frame is longer than " + MAX_FRAME + " bytes");
+        remainder = Arrays.copyOfRange(buffer, frameStart, buffer.length);
+        if (remainder.length > MAX_FRAME) {
+            throw new IOException("frame exceeds " + MAX_FRAME + " bytes");
         }
         return frames;
     }
 
-    private byte[] join(ByteBuf bytes) {
-        int fresh = bytes.readableBytes();
-        byte[] all = Arrays.copyOf(rest, rest.length + fresh);
-        bytes.readBytes(all, rest.length, fresh);
-        return all;
+    private byte[] appendToRemainder(ByteBuf bytes) {
+        int length = bytes.readableBytes();
+        byte[] buffer = Arrays.copyOf(remainder, remainder.length + length);
+        bytes.readBytes(buffer, remainder.length, length);
+        return buffer;
     }
 }
--- a/engine/src/main/java/org/hallwall/engine/TargetLoad.java
+++ b/engine/src/main/java/org/hallwall/engine/TargetLoad.java
@@ -19,14 +19,14 @@
 package org.hallwall.engine;
 
 /**
- * The load of a target as it reports it, with a lag.
+ * The load of a target at its last announcement.
  *
- * @param running how many runs it executes
- * @param queued how many runs wait in it
- * @param slots how many runs it executes at once
+ * @param running the number of runs in progress
+ * @param queued the number of queued runs
+ * @param slots the maximum number of concurrent runs
  */
 public record TargetLoad(int running, int queued, int slots) {
 
-    /** The load of a target that has not reported any. */
+    /** The load of a target that reports none. */
     public static final TargetLoad NONE = new TargetLoad(0, 0, 1);
 }
