--- a/serving/src/main/java/org/hallwall/serving/crash/CrashCommand.java
+++ b/serving/src/main/java/org/hallwall/serving/crash/CrashCommand.java
@@ -26,13 +26,13 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * A command of the log about requests that end targets; what it does not carry is empty or null.
+ * A replicated log command that updates the crash suspects; unused fields are empty or null.
  *
- * @param at the leader's time of day, in milliseconds since 1970; times of the state go by it, so that all voters agree
- * @param key the key of the digests, if none is set yet
- * @param ended targets that have ended, with what they ran
+ * @param at the leader's wall clock in milliseconds since the epoch; all voters apply this time
+ * @param key the digest key, set once
+ * @param ended crashed targets and the requests that they were running
  * @param survived suspects that a target has answered since
- * @param trial a suspect that is held back and that a caller has sent again
+ * @param trial a held request that a caller has sent again
  */
 public record CrashCommand(
         long at, byte[] key, List<EndedTarget> ended, List<RequestDigest> survived, RequestDigest trial) {
@@ -40,10 +40,10 @@
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
 
     /**
-     * Makes a command that sets the key.
+     * Creates a command that sets the digest key.
      *
-     * @param at the time of day in milliseconds
-     * @param key the key
+     * @param at the wall clock in milliseconds
+     * @param key the digest key
      * @return the command
      */
     public static CrashCommand key(long at, byte[] key) {
@@ -51,10 +51,10 @@
     }
 
     /**
-     * Makes a command of what an entry has seen.
+     * Creates a command from an entry's report.
      *
-     * @param at the time of day in milliseconds
-     * @param ended targets that have ended
+     * @param at the wall clock in milliseconds
+     * @param ended crashed targets
      * @param survived suspects that a target has answered
      * @return the command
      */
@@ -63,10 +63,10 @@
     }
 
     /**
-     * Makes a command that asks to try a suspect once.
+     * Creates a command that requests a trial of a held request.
      *
-     * @param at the time of day in milliseconds
-     * @param digest the suspect
+     * @param at the wall clock in milliseconds
+     * @param digest the held request
      * @return the command
      */
     public static CrashCommand trial(long at, RequestDigest digest) {
@@ -74,18 +74,18 @@
     }
 
     /**
-     * Writes the command.
+     * Encodes the command as MessagePack.
      *
-     * @return its bytes
+     * @return the encoded command
      */
     public byte[] bytes() {
         return write(this);
     }
 
     /**
-     * Reads a command.
+     * Decodes a command.
      *
-     * @param bytes its bytes
+     * @param bytes the encoded command
      * @return the command
      */
     public static CrashCommand read(byte[] bytes) {
@@ -104,7 +104,7 @@
         try {
             return MAPPER.readValue(bytes, type);
         } catch (IOException e) {
-            // the log's checksums hold: these bytes were written by another version of this class
+            // log entries are checksummed, so this is an incompatible version rather than corruption
             throw new UncheckedIOException(e);
         }
     }
--- a/serving/src/main/java/org/hallwall/serving/crash/CrashLedger.java
+++ b/serving/src/main/java/org/hallwall/serving/crash/CrashLedger.java
@@ -33,79 +33,79 @@
 import org.jboss.logging.Logger;
 
 /**
- * Which requests targets have ended under, as all voters of the log agree: the memory of the whole system, which outlives each
- * process and a loss of all power. It reads no clock and does no I/O.
+ * The replicated state machine of requests suspected of crashing targets. Deterministic: it reads no clock and does no I/O.
  *
- * <p>A request is a suspect from the first target that ends under it until one survives it. It is held back once {@value #ENDED_TO_HOLD}
- * targets have ended under it that no other request is held back for: where many requests run on a target, its end has one cause, and
- * those that were only there are let go when the cause is known.
+ * <p>A request is a suspect from the first target that crashes while running it until a target answers it. It is held back after
+ * {@value #HOLD_THRESHOLD} crashes that are not attributed to another held request, so that requests that merely ran on the same targets
+ * are not held.
  */
 public final class CrashLedger {
 
-    /** So many ends without an answer in between hold a request back, if nothing else explains them. */
-    static final int ENDED_TO_HOLD = 3;
+    /** Crashes without an answer in between that hold a request, unless another held request accounts for them. */
+    static final int HOLD_THRESHOLD = 3;
 
     /**
-     * So many hold it back even if others explain them: of two such requests that always run together, both are found. An innocent one that
-     * is not popular gets no further anyway, where a caller tries twice and each try is sent to two targets.
+     * Crashes that hold a request even if another held request accounts for them, so that two crashing requests that always run together
+     * are both held.
      */
-    static final int ENDED_TO_HOLD_ANYHOW = 4;
+    static final int UNCONDITIONAL_HOLD_THRESHOLD = 4;
 
-    /** After this time without a sign of it a request is forgotten, in milliseconds: a day, as callers' own schedules repeat by days. */
-    private static final long FORGET_MILLIS = 86_400_000;
+    /** A suspect not seen for a day is dropped; jobs scheduled daily are still recognised. */
+    private static final long EXPIRY_MILLIS = 86_400_000;
 
-    /** How many suspects are kept, about 0.5 MB; those with the fewest ended targets make room, held ones last. */
-    static final int MOST_SUSPECTS = 4_096;
+    /** Maximum number of suspects; those with the fewest crashes are evicted first and held ones last. */
+    static final int MAX_SUSPECTS = 4_096;
 
-    /** How many removals are told one by one; an entry that has missed more gets everything. */
-    private static final int MOST_REMOVALS = 1_024;
+    /** Removals kept for incremental updates; an entry that has missed more gets the full state. */
+    private static final int MAX_REMOVALS = 1_024;
 
     private static final Logger LOG = Logger.getLogger(CrashLedger.class);
 
-    private final Map<RequestDigest, LoggedSuspect> suspects = new HashMap<>();
+    private final Map<RequestDigest, ReplicatedSuspect> suspects = new HashMap<>();
     private final Deque<Removal> removals = new ArrayDeque<>();
     private byte[] key;
     private long version;
-    private long toldFrom;
+    private long lastDroppedRemoval;
 
     /**
      * Applies a command.
      *
      * @param c the command
-     * @return whether a trial is granted; false for other commands
+     * @return true if the command requests a trial and it is granted
      */
     public synchronized boolean apply(CrashCommand c) {
         if (c.key() != null && key == null) {
             key = c.key();
             version++;
         }
-        forgetOld(c.at());
-        c.ended().forEach(e -> ended(e, c.at()));
-        c.survived().forEach(d -> survived(d, c.at()));
-        return c.trial() != null && trial(c.trial(), c.at());
+        removeExpired(c.at());
+        c.ended().forEach(e -> applyCrash(e, c.at()));
+        c.survived().forEach(d -> applySurvival(d, c.at()));
+        return c.trial() != null && applyTrial(c.trial(), c.at());
     }
 
-    private void ended(EndedTarget e, long at) {
-        List<LoggedSuspect> there = new ArrayList<>();
+    private void applyCrash(EndedTarget e, long at) {
+        List<ReplicatedSuspect> updated = new ArrayList<>();
         for (RequestDigest d : e.running()) {
-            LoggedSuspect s = suspects.getOrDefault(d, LoggedSuspect.unknown(d, at));
+            ReplicatedSuspect s = suspects.getOrDefault(d, ReplicatedSuspect.create(d, at));
             if (!s.targets().contains(e.target())) {
-                there.add(s.endedUnder(e.target(), at, ++version));
+                updated.add(s.withCrash(e.target(), at, ++version));
             }
         }
-        there.forEach(s -> suspects.put(s.digest(), s));
-        holdThoseDue(there, at);
-        makeRoom();
+        updated.forEach(s -> suspects.put(s.digest(), s));
+        holdEligible(updated, at);
+        evictSurplus();
     }
 
-    /** Holds back the one with most ends first: it explains ends for the others. */
-    private void holdThoseDue(List<LoggedSuspect> candidates, long at) {
-        candidates.sort(Comparator.comparing((LoggedSuspect s) -> s.targets().size())
-                .reversed()
-                .thenComparing(LoggedSuspect::digest));
-        for (LoggedSuspect s : candidates) {
-            if (!s.held() && isToHold(s)) {
-                suspects.put(s.digest(), s.hold(at, ++version));
+    /** Holds requests in descending order of crashes, since a held request accounts for crashes of the others. */
+    private void holdEligible(List<ReplicatedSuspect> candidates, long at) {
+        candidates.sort(
+                Comparator.comparing((ReplicatedSuspect s) -> s.targets().size())
+                        .reversed()
+                        .thenComparing(ReplicatedSuspect::digest));
+        for (ReplicatedSuspect s : candidates) {
+            if (!s.held() && shouldHold(s)) {
+                suspects.put(s.digest(), s.withHold(at, ++version));
                 LOG.warnf(
                         "crashes: request %s is held back: %s ended under it, none survived it",
                         s.digest(), s.targets());
@@ -113,78 +113,78 @@
         }
     }
 
-    private boolean isToHold(LoggedSuspect s) {
-        if (s.targets().size() < ENDED_TO_HOLD) {
+    private boolean shouldHold(ReplicatedSuspect s) {
+        if (s.targets().size() < HOLD_THRESHOLD) {
             return false;
         }
-        Set<InstanceId> explained = new HashSet<>();
-        suspects.values().stream().filter(LoggedSuspect::held).forEach(h -> explained.addAll(h.targets()));
-        long unexplained =
-                s.targets().stream().filter(t -> !explained.contains(t)).count();
-        return unexplained >= ENDED_TO_HOLD || s.targets().size() >= ENDED_TO_HOLD_ANYHOW;
+        Set<InstanceId> attributed = new HashSet<>();
+        suspects.values().stream().filter(ReplicatedSuspect::held).forEach(h -> attributed.addAll(h.targets()));
+        long unattributed =
+                s.targets().stream().filter(t -> !attributed.contains(t)).count();
+        return unattributed >= HOLD_THRESHOLD || s.targets().size() >= UNCONDITIONAL_HOLD_THRESHOLD;
     }
 
-    private void survived(RequestDigest d, long at) {
-        LoggedSuspect s = suspects.get(d);
+    private void applySurvival(RequestDigest d, long at) {
+        ReplicatedSuspect s = suspects.get(d);
         if (s == null) {
             return;
         }
         remove(d);
         if (s.held()) {
             LOG.warnf("crashes: request %s is no longer held back: a target has survived it", d);
-            // the ends that it explained have another cause
-            holdThoseDue(new ArrayList<>(suspects.values()), at);
+            // the crashes attributed to it count against the other suspects again
+            holdEligible(new ArrayList<>(suspects.values()), at);
         }
     }
 
-    private boolean trial(RequestDigest d, long at) {
-        LoggedSuspect s = suspects.get(d);
+    private boolean applyTrial(RequestDigest d, long at) {
+        ReplicatedSuspect s = suspects.get(d);
         if (s == null) {
             return false;
         }
         boolean due = s.isTrialDue(at);
-        suspects.put(d, s.sentAgain(at));
+        suspects.put(d, s.withRetry(at));
         if (due) {
-            LOG.warnf("crashes: request %s is tried for the %d. time since it is held back", d, s.trials() + 1);
+            LOG.warnf("crashes: request %s is granted trial %d since it is held back", d, s.trials() + 1);
         }
         return due;
     }
 
-    private void forgetOld(long at) {
-        List<RequestDigest> old = suspects.values().stream()
-                .filter(s -> at - s.seenAt() > FORGET_MILLIS)
-                .map(LoggedSuspect::digest)
+    private void removeExpired(long at) {
+        List<RequestDigest> expired = suspects.values().stream()
+                .filter(s -> at - s.seenAt() > EXPIRY_MILLIS)
+                .map(ReplicatedSuspect::digest)
                 .sorted()
                 .toList();
-        old.forEach(this::remove);
+        expired.forEach(this::remove);
     }
 
-    private void makeRoom() {
-        int surplus = suspects.size() - MOST_SUSPECTS;
+    private void evictSurplus() {
+        int surplus = suspects.size() - MAX_SUSPECTS;
         if (surplus <= 0) {
             return;
         }
-        List<RequestDigest> least = suspects.values().stream()
-                .sorted(Comparator.comparing(LoggedSuspect::held)
+        List<RequestDigest> evicted = suspects.values().stream()
+                .sorted(Comparator.comparing(ReplicatedSuspect::held)
                         .thenComparing(s -> s.targets().size())
-                        .thenComparing(LoggedSuspect::seenAt)
-                        .thenComparing(LoggedSuspect::digest))
+                        .thenComparing(ReplicatedSuspect::seenAt)
+                        .thenComparing(ReplicatedSuspect::digest))
                 .limit(surplus)
-                .map(LoggedSuspect::digest)
+                .map(ReplicatedSuspect::digest)
                 .toList();
-        least.forEach(this::remove);
+        evicted.forEach(this::remove);
     }
 
     private void remove(RequestDigest d) {
         suspects.remove(d);
         removals.addLast(new Removal(++version, d));
-        if (removals.size() > MOST_REMOVALS) {
-            toldFrom = removals.removeFirst().version();
+        if (removals.size() > MAX_REMOVALS) {
+            lastDroppedRemoval = removals.removeFirst().version();
         }
     }
 
     /**
-     * Gives the key of the digests.
+     * Returns the digest key.
      *
      * @return the key, or null if none is set
      */
@@ -193,7 +193,7 @@
     }
 
     /**
-     * Gives the version of the state.
+     * Returns the version of the state.
      *
      * @return the version; zero before the first command
      */
@@ -202,77 +202,77 @@
     }
 
     /**
-     * Gives the changes after a version.
+     * Returns the changes since a version.
      *
-     * @param after the version that an entry has
+     * @param after the version that the entry has
      * @return the changes, or null if there are none
      */
     public synchronized SuspectNews news(long after) {
         if (after >= version) {
             return null;
         }
-        boolean whole = after == 0 || after < toldFrom;
+        boolean full = after == 0 || after < lastDroppedRemoval;
         List<Suspect> changed = suspects.values().stream()
-                .filter(s -> whole || s.version() > after)
-                .map(LoggedSuspect::suspect)
+                .filter(s -> full || s.version() > after)
+                .map(ReplicatedSuspect::toSuspect)
                 .toList();
-        List<RequestDigest> removed = whole
+        List<RequestDigest> removed = full
                 ? List.of()
                 : removals.stream()
                         .filter(r -> r.version() > after && !suspects.containsKey(r.digest()))
                         .map(Removal::digest)
                         .distinct()
                         .toList();
-        return new SuspectNews(key, version, whole, changed, removed);
+        return new SuspectNews(key, version, full, changed, removed);
     }
 
     /**
-     * Says when a request that is held back may be tried.
+     * Returns the time until the next trial of a held request.
      *
      * @param digest the request
-     * @param now the time of day in milliseconds
-     * @return the pause in milliseconds, not above a day; zero if a trial is due
+     * @param now the wall clock in milliseconds
+     * @return the time in milliseconds, at most a day; zero if a trial is due
      */
     public synchronized long trialInMillis(RequestDigest digest, long now) {
-        LoggedSuspect s = suspects.get(digest);
-        return s == null ? 0 : Math.max(0, Math.min(s.nextTrialAt() - now, FORGET_MILLIS));
+        ReplicatedSuspect s = suspects.get(digest);
+        return s == null ? 0 : Math.max(0, Math.min(s.nextTrialAt() - now, EXPIRY_MILLIS));
     }
 
     /**
-     * Says for how long the log has not heard of a request.
+     * Returns the time since a suspect was last reported or sent again.
      *
      * @param digest the request
-     * @param now the time of day in milliseconds
-     * @return the time in milliseconds; zero if it is no suspect
+     * @param now the wall clock in milliseconds
+     * @return the time in milliseconds; zero if the request is not a suspect
      */
     public synchronized long unseenMillis(RequestDigest digest, long now) {
-        LoggedSuspect s = suspects.get(digest);
+        ReplicatedSuspect s = suspects.get(digest);
         return s == null ? 0 : now - s.seenAt();
     }
 
     /**
-     * Lists the requests that are held back.
+     * Lists the held requests.
      *
-     * @return the requests
+     * @return the held requests
      */
     public synchronized Collection<Suspect> held() {
         return suspects.values().stream()
-                .filter(LoggedSuspect::held)
-                .map(LoggedSuspect::suspect)
+                .filter(ReplicatedSuspect::held)
+                .map(ReplicatedSuspect::toSuspect)
                 .toList();
     }
 
     /**
-     * Makes a snapshot.
+     * Encodes the state as a snapshot.
      *
-     * @return the state in bytes
+     * @return the snapshot
      */
     public synchronized byte[] snapshot() {
         return CrashCommand.write(new Snapshot(key, version, List.copyOf(suspects.values())));
     }
 
     /**
-     * Replaces the state by a snapshot; removals before it are not known, so that entries behind it get everything.
+     * Replaces the state by a snapshot. Removals are not part of it, so entries with an older version get the full state.
      *
      * @param bytes the snapshot
      */
@@ -280,7 +280,7 @@
         Snapshot s = CrashCommand.read(bytes, Snapshot.class);
         key = s.key();
         version = s.version();
-        toldFrom = s.version();
+        lastDroppedRemoval = s.version();
         removals.clear();
         suspects.clear();
         s.suspects().forEach(h -> suspects.put(h.digest(), h));
@@ -288,6 +288,6 @@
 
     private record Removal(long version, RequestDigest digest) {}
 
-    /** The state as it is stored. */
-    private record Snapshot(byte[] key, long version, List<LoggedSuspect> suspects) {}
+    /** The stored form of the state. */
+    private record Snapshot(byte[] key, long version, List<ReplicatedSuspect> suspects) {}
 }
--- a/serving/src/main/java/org/hallwall/serving/crash/CrashPeers.java
+++ b/serving/src/main/java/org/hallwall/serving/crash/CrashPeers.java
@@ -23,55 +23,55 @@
 import org.hallwall.core.id.InstanceId;
 import reactor.core.publisher.Mono;
 
-/** Whom an entry asks and tells about requests that end targets. */
+/** The targets and the control plane as {@link CrashWatch} uses them. */
 public interface CrashPeers {
 
     /**
-     * Asks whether a target answers.
+     * Probes whether a target answers.
      *
-     * @param target the start of the target
-     * @return true if it does; never an error
+     * @param target the target's start
+     * @return true if it answers; never an error
      */
     Mono<Boolean> answers(InstanceId target);
 
     /**
-     * Asks whether nothing listens any more where a target was; unlike silence, that is no matter of links or load.
+     * Probes whether a target's address refuses connections. Unlike a timeout, a refusal is not caused by the network or by load.
      *
-     * @param target the start of the target
-     * @return true only if its address refuses a connection, and it has not said that it leaves; never an error
+     * @param target the target's start
+     * @return true only if the address refuses a connection and the target has not announced its shutdown; never an error
      */
     Mono<Boolean> refuses(InstanceId target);
 
     /**
-     * Says whether a later start of a target is known.
+     * Returns whether a target has restarted without announcing its shutdown.
      *
-     * @param target the start of the target
-     * @return true if this start is over without having said so
+     * @param target the target's start
+     * @return true if a later start of the target is known
      */
     boolean hasStartedAgain(InstanceId target);
 
     /**
-     * Takes to the log what was seen.
+     * Reports crashes and answered suspects to the log.
      *
-     * @param ended targets that have ended, with what they ran
+     * @param ended crashed targets and the requests that they were running
      * @param survived suspects that a target has answered
-     * @return the version of the suspects that holds it; empty if it was not taken, never an error
+     * @return the version of the suspects that includes the report; empty if it was not committed, never an error
      */
     Mono<Long> report(List<EndedTarget> ended, List<RequestDigest> survived);
 
     /**
-     * Asks whether a request that is held back may be tried.
+     * Requests a trial of a held request.
      *
      * @param digest the request
-     * @return the answer; empty if there is none, never an error
+     * @return the decision; empty if no control instance answers, never an error
      */
     Mono<Trial> mayTry(RequestDigest digest);
 
     /**
-     * The answer whether a request may be tried.
+     * The decision on a trial.
      *
-     * @param granted whether it may, once
-     * @param againMillis when it may be asked again, in milliseconds
+     * @param granted whether the request may be sent once
+     * @param againMillis the time until the next trial may be requested, in milliseconds
      */
     record Trial(boolean granted, long againMillis) {}
 }
--- a/serving/src/main/java/org/hallwall/serving/crash/CrashWatch.java
+++ b/serving/src/main/java/org/hallwall/serving/crash/CrashWatch.java
@@ -35,42 +35,37 @@
 import reactor.core.scheduler.Schedulers;
 
 /**
- * Keeps requests that end targets from being sent on: it finds out which targets have ended under which requests, tells the log, and holds
- * back what all entries together have seen too often. Used on the I/O thread only, but for the methods that say so.
+ * Detects which requests were running on crashed targets, reports them to the replicated log, and holds back requests that have crashed too
+ * many targets. Not thread-safe: used on the I/O thread, except for methods documented otherwise.
  */
 public final class CrashWatch {
 
     private static final Logger LOG = Logger.getLogger(CrashWatch.class);
 
-    /** When a caller retries if nobody can say more, in milliseconds: elections and cuts are over by then for the most part. */
-    private static final long ALONE_MILLIS = 10_000;
+    /** The shortest retry delay of a held request; covers most leader elections and short partitions. */
+    private static final long MIN_RETRY_MILLIS = 10_000;
 
-    /**
-     * How often a target is asked about that was left with a request, or answered just after it broke one off, in milliseconds: it may end
-     * behind that, and then nobody is there to see it. Costs up to five connections for a request that was left.
-     */
-    private static final long ASK_AGAIN_MILLIS = 2_000;
+    /** The interval at which a target with an unresolved failure is probed, since it may crash after this entry has disconnected. */
+    private static final long PROBE_INTERVAL_MILLIS = 2_000;
 
-    /** Questions in progress at most, so that a failure domain that goes dark does not cost a burst of connections. */
-    private static final int MOST_ASKED = 16;
+    /** Bounds the burst of connections when a whole failure domain becomes unreachable. */
+    private static final int MAX_CONCURRENT_PROBES = 16;
 
-    /** Requests named in a log line at most. */
-    private static final int MOST_NAMED = 8;
+    private static final int MAX_LOGGED_DIGESTS = 8;
 
-    /** Digests of survivors kept for the log at most. */
-    private static final int MOST_SURVIVED = 1_024;
+    private static final int MAX_UNREPORTED_SURVIVORS = 1_024;
 
     private final CrashPeers peers;
     private final Executor io;
     private final Ticker ticker;
-    private final KnownSuspects known = new KnownSuspects();
-    private final BadEndings endings = new BadEndings();
-    private final RecentAnswers answers = new RecentAnswers();
-    private final List<EndedTarget> unlogged = new ArrayList<>();
-    private final Set<RequestDigest> survived = new LinkedHashSet<>();
-    private final Set<InstanceId> asked = new HashSet<>();
-    private final Map<RequestDigest, Long> askAgainAt = new HashMap<>();
-    private final Map<InstanceId, Long> lookAgainAt = new HashMap<>();
+    private final SuspectView suspectView = new SuspectView();
+    private final UnresolvedFailures failures = new UnresolvedFailures();
+    private final RecentResponses recentResponses = new RecentResponses();
+    private final List<EndedTarget> unreportedCrashes = new ArrayList<>();
+    private final Set<RequestDigest> unreportedSurvivors = new LinkedHashSet<>();
+    private final Set<InstanceId> probing = new HashSet<>();
+    private final Map<RequestDigest, Long> nextTrialRequestAt = new HashMap<>();
+    private final Map<InstanceId, Long> nextProbeAt = new HashMap<>();
     private boolean reporting;
     private volatile RequestDigester digester;
     private volatile long version;
@@ -78,10 +73,10 @@
     private volatile long held;
 
     /**
-     * Creates a watch that knows nothing; nothing is digested before the key is known.
+     * Creates a watch without suspects. No request is digested before the key is known.
      *
-     * @param peers whom to ask and tell
-     * @param io runs on the I/O thread
+     * @param peers the targets and the control plane
+     * @param io executes tasks on the I/O thread
      * @param ticker the clock
      */
     public CrashWatch(CrashPeers peers, Executor io, Ticker ticker) {
@@ -91,7 +86,7 @@
     }
 
     /**
-     * Takes what the log holds.
+     * Applies changes of the replicated suspects.
      *
      * @param news the changes
      */
@@ -99,122 +94,122 @@
         if (digester == null && news.key() != null) {
             digester = new RequestDigester(news.key());
         }
-        known.take(news, ticker.millis());
-        version = known.version();
-        suspects = known.size();
-        held = known.heldCount();
+        suspectView.applyUpdate(news, ticker.millis());
+        version = suspectView.version();
+        suspects = suspectView.size();
+        held = suspectView.heldCount();
         long now = ticker.millis();
-        askAgainAt.keySet().removeIf(d -> !known.isHeld(d, Set.of()));
-        // what others suspect may have been answered here all along
+        nextTrialRequestAt.keySet().removeIf(d -> !suspectView.isHeld(d, Set.of()));
+        // a suspect reported by another entry may have been answered here recently
         news.changed().stream()
                 .map(Suspect::digest)
-                .filter(d -> answers.has(d, now))
+                .filter(d -> recentResponses.contains(d, now))
                 .forEach(this::survived);
     }
 
     /**
-     * Gives the version of the suspects that is known here; on any thread.
+     * Returns the version of the suspects that has been applied. Thread-safe.
      *
-     * @return the version; zero if none is
+     * @return the version; zero if none has
      */
     public long version() {
         return version;
     }
 
     /**
-     * Says whether what the log holds is known here, on any thread: before, an entry would send what others hold back.
+     * Returns whether the replicated suspects have been received. An entry that is not ready could send held requests. Thread-safe.
      *
-     * @return true if it is
+     * @return true if they have
      */
     public boolean isReady() {
         return digester != null;
     }
 
     /**
-     * Gives what makes digests.
+     * Returns the digester. Thread-safe.
      *
-     * @return the digester, or null as long as the key is not known
+     * @return the digester, or null while the key is not known
      */
     public RequestDigester digester() {
         return digester;
     }
 
     /**
-     * Says whether any request is a suspect, so that all have to be looked at.
+     * Returns whether requests have to be digested and checked.
      *
-     * @return true if so
+     * @return true if there are suspects or unresolved failures
      */
     public boolean isWatching() {
-        return digester != null && !(known.isEmpty() && endings.isEmpty());
+        return digester != null && !(suspectView.isEmpty() && failures.isEmpty());
     }
 
     /**
-     * Says whether a request is held back.
+     * Returns whether a request is held back.
      *
      * @param digest the request, or null if it was not digested
-     * @param brokenOffBy targets that have just broken off this very request; they count as ended, since waiting for the proof would
-     *     cost one more
+     * @param brokenOffBy targets that have just closed the connection of this request; they count as crashed without confirmation, to
+     *     keep a retry from crashing another one
      * @return true if it must not be sent
      */
     public boolean isHeld(RequestDigest digest, Set<InstanceId> brokenOffBy) {
-        return digest != null && known.isHeld(digest, brokenOffBy);
+        return digest != null && suspectView.isHeld(digest, brokenOffBy);
     }
 
     /**
-     * Lets a request pass, unless it is held back; one that is held back is tried if the log grants that.
+     * Checks whether a request may be sent. A held request may be sent if the control plane grants a trial.
      *
      * @param digest the request, or null if it was not digested
-     * @return empty if it may be sent; else how long its caller should stay away, in milliseconds
+     * @return empty if it may be sent; otherwise the time after which the caller should retry, in milliseconds
      */
     public Mono<Long> holdBackMillis(RequestDigest digest) {
         if (!isHeld(digest, Set.of())) {
             return Mono.empty();
         }
-        long left = askAgainAt.getOrDefault(digest, 0L) - ticker.millis();
-        if (left > 0) {
-            return Mono.just(left);
+        long remaining = nextTrialRequestAt.getOrDefault(digest, 0L) - ticker.millis();
+        if (remaining > 0) {
+            return Mono.just(remaining);
         }
-        // until the answer, others of its kind are not asked about
-        askAgainAt.put(digest, ticker.millis() + ALONE_MILLIS);
+        // suppresses concurrent trial requests for the same digest
+        nextTrialRequestAt.put(digest, ticker.millis() + MIN_RETRY_MILLIS);
         return peers.mayTry(digest)
-                .defaultIfEmpty(new CrashPeers.Trial(false, ALONE_MILLIS))
+                .defaultIfEmpty(new CrashPeers.Trial(false, MIN_RETRY_MILLIS))
                 .publishOn(Schedulers.fromExecutor(io))
                 .flatMap(t -> {
-                    long again = Math.max(ALONE_MILLIS, t.againMillis());
-                    askAgainAt.put(digest, ticker.millis() + again);
-                    return t.granted() ? Mono.empty() : Mono.just(again);
+                    long retryMillis = Math.max(MIN_RETRY_MILLIS, t.againMillis());
+                    nextTrialRequestAt.put(digest, ticker.millis() + retryMillis);
+                    return t.granted() ? Mono.empty() : Mono.just(retryMillis);
                 });
     }
 
     /**
-     * Tells by what a request is held back, for logs and callers.
+     * Describes why a request is held back, for logs and error responses.
      *
      * @param digest the request
-     * @return the targets, and how long the last end is known
+     * @return the crashed targets and the age of the last update
      */
     public String describe(RequestDigest digest) {
-        long at = known.takenAt(digest);
-        String age = at == 0 ? "seen here only" : "the last known here for " + (ticker.millis() - at) + " ms";
-        return "held back as " + digest + ": " + new TreeSet<>(known.targets(digest, Set.of()))
+        long at = suspectView.updatedAt(digest);
+        String age = at == 0 ? "seen by this entry only" : "last updated here " + (ticker.millis() - at) + " ms ago";
+        return "held back as " + digest + ": " + new TreeSet<>(suspectView.crashedTargets(digest, Set.of()))
                 + " ended under it and none has survived it, " + age + ", suspects of version " + version;
     }
 
     /**
-     * Notes that a target has broken off a request; whether it has ended is found out.
+     * Records that a target has closed the connection of a request, and probes whether the target has crashed.
      *
-     * @param target the start of the target
+     * @param target the target's start
      * @param digest the request, or null if the key is not known
      */
     public void cut(InstanceId target, RequestDigest digest) {
         if (digest == null) {
             return;
         }
-        endings.add(target, digest, ticker.millis());
-        if (asked.add(target)) {
+        failures.add(target, digest, ticker.millis());
+        if (probing.add(target)) {
             peers.answers(target)
-                    .subscribe(answers -> io.execute(() -> {
-                        asked.remove(target);
-                        if (!answers) {
+                    .subscribe(responding -> io.execute(() -> {
+                        probing.remove(target);
+                        if (!responding) {
                             gone(target);
                         }
                     }));
@@ -222,44 +217,46 @@
     }
 
     /**
-     * Notes that a request was given up here while a target may have run it.
+     * Records that this entry has abandoned a request, for example after a timeout, while the target may still run it.
      *
-     * @param target the start of the target
+     * @param target the target's start
      * @param digest the request, or null if the key is not known
      */
     public void left(InstanceId target, RequestDigest digest) {
         if (digest != null) {
-            endings.add(target, digest, ticker.millis());
+            failures.add(target, digest, ticker.millis());
         }
     }
 
     /**
-     * Notes that nothing listens any more where a target was.
+     * Records that a target has crashed.
      *
-     * @param target the start of the target
+     * @param target the target's start
      */
     public void gone(InstanceId target) {
         long now = ticker.millis();
-        List<RequestDigest> running = endings.take(target, now).stream()
-                .filter(d -> !answers.has(d, now))
+        List<RequestDigest> running = failures.removeTarget(target, now).stream()
+                .filter(d -> !recentResponses.contains(d, now))
                 .toList();
         if (running.isEmpty()) {
             return;
         }
         LOG.infof(
                 "crashes: target %s has ended under %d requests: %s",
-                target, running.size(), running.stream().limit(MOST_NAMED).toList());
-        known.ended(target, running);
-        if (unlogged.stream().mapToInt(e -> e.running().size()).sum() < KnownSuspects.MOST_OWN) {
-            unlogged.add(new EndedTarget(target, running));
+                target,
+                running.size(),
+                running.stream().limit(MAX_LOGGED_DIGESTS).toList());
+        suspectView.addCrash(target, running);
+        if (unreportedCrashes.stream().mapToInt(e -> e.running().size()).sum() < SuspectView.MAX_UNLOGGED) {
+            unreportedCrashes.add(new EndedTarget(target, running));
         }
-        // a suspect's other targets are looked at now, since it may be sent to the next one within milliseconds
-        endings.targetsOf(Set.copyOf(running)).forEach(t -> lookAgain(t, now));
+        // other targets of the same requests are probed at once, before a retry reaches the next target
+        failures.targetsWithAny(Set.copyOf(running)).forEach(t -> probe(t, now));
         report();
     }
 
     /**
-     * Notes that a target has answered a request and lives.
+     * Records that a target has answered a request.
      *
      * @param digest the request, or null if it was not digested
      */
@@ -267,38 +264,38 @@
         if (digest == null) {
             return;
         }
-        answers.note(digest, ticker.millis());
-        endings.survived(digest);
-        if (known.survived(digest) && survived.size() < MOST_SURVIVED) {
-            survived.add(digest);
+        recentResponses.add(digest, ticker.millis());
+        failures.removeRequest(digest);
+        if (suspectView.removeSuspect(digest) && unreportedSurvivors.size() < MAX_UNREPORTED_SURVIVORS) {
+            unreportedSurvivors.add(digest);
             report();
         }
     }
 
-    /** Looks for proofs that came another way, and tells the log again what it has not taken; called some times a second. */
+    /** Checks unresolved failures for confirmed crashes and retries reports; called several times a second. */
     public void tick() {
         long now = ticker.millis();
-        endings.forgetOld(now);
-        Set<InstanceId> open = endings.targets();
-        lookAgainAt.keySet().retainAll(open);
-        for (InstanceId target : open) {
+        failures.removeExpired(now);
+        Set<InstanceId> unresolved = failures.targets();
+        nextProbeAt.keySet().retainAll(unresolved);
+        for (InstanceId target : unresolved) {
             if (peers.hasStartedAgain(target)) {
                 gone(target);
-            } else if (now >= lookAgainAt.computeIfAbsent(target, t -> now + ASK_AGAIN_MILLIS)) {
-                lookAgain(target, now);
+            } else if (now >= nextProbeAt.computeIfAbsent(target, t -> now + PROBE_INTERVAL_MILLIS)) {
+                probe(target, now);
             }
         }
         report();
     }
 
-    private void lookAgain(InstanceId target, long now) {
-        if (asked.size() >= MOST_ASKED || !asked.add(target)) {
+    private void probe(InstanceId target, long now) {
+        if (probing.size() >= MAX_CONCURRENT_PROBES || !probing.add(target)) {
             return;
         }
-        lookAgainAt.put(target, now + ASK_AGAIN_MILLIS);
+        nextProbeAt.put(target, now + PROBE_INTERVAL_MILLIS);
         peers.refuses(target)
                 .subscribe(refused -> io.execute(() -> {
-                    asked.remove(target);
+                    probing.remove(target);
                     if (refused) {
                         gone(target);
                     }
@@ -306,39 +303,41 @@
     }
 
     private void report() {
-        if (reporting || unlogged.isEmpty() && survived.isEmpty()) {
+        if (reporting || unreportedCrashes.isEmpty() && unreportedSurvivors.isEmpty()) {
             return;
         }
         reporting = true;
-        List<EndedTarget> ended = List.copyOf(unlogged);
-        List<RequestDigest> well = List.copyOf(survived);
-        peers.report(ended, well).defaultIfEmpty(0L).subscribe(at -> io.execute(() -> reported(ended, well, at)));
+        List<EndedTarget> ended = List.copyOf(unreportedCrashes);
+        List<RequestDigest> survivors = List.copyOf(unreportedSurvivors);
+        peers.report(ended, survivors)
+                .defaultIfEmpty(0L)
+                .subscribe(at -> io.execute(() -> reportCompleted(ended, survivors, at)));
     }
 
-    private void reported(List<EndedTarget> ended, List<RequestDigest> well, long at) {
+    private void reportCompleted(List<EndedTarget> ended, List<RequestDigest> survivors, long at) {
         reporting = false;
         if (at == 0) {
             return;
         }
-        unlogged.removeAll(ended);
-        survived.removeAll(well);
-        ended.forEach(known::logged);
+        unreportedCrashes.removeAll(ended);
+        unreportedSurvivors.removeAll(survivors);
+        ended.forEach(suspectView::markLogged);
         report();
     }
 
     /**
-     * Counts the suspects; on any thread.
+     * Returns the number of replicated suspects. Thread-safe.
      *
-     * @return how many the log holds, as far as is known here
+     * @return the number of suspects
      */
     public int suspects() {
         return suspects;
     }
 
     /**
-     * Counts the requests that are held back; on any thread.
+     * Returns the number of held requests. Thread-safe.
      *
-     * @return how many
+     * @return the number of held requests
      */
     public long held() {
         return held;
--- a/serving/src/main/java/org/hallwall/serving/crash/EndedTarget.java
+++ b/serving/src/main/java/org/hallwall/serving/crash/EndedTarget.java
@@ -23,9 +23,9 @@
 import org.hallwall.core.id.InstanceId;
 
 /**
- * A start of a target that has ended without a word, and what one entry had there.
+ * A target that crashed, and the requests that one entry had sent to it.
  *
- * @param target the start of the target
- * @param running the requests that were there when it ended, or shortly before
+ * @param target the target's start
+ * @param running the requests in progress on the target when it crashed or shortly before
  */
 public record EndedTarget(InstanceId target, List<RequestDigest> running) {}
--- a/serving/src/main/java/org/hallwall/serving/crash/RecentAnswers.java
+++ b/serving/src/main/java/org/hallwall/serving/crash/RecentResponses.java
@@ -22,37 +22,33 @@
 import java.util.Map;
 
 /**
- * Which requests targets have answered lately. Not thread-safe.
+ * Requests that targets have answered recently. Not thread-safe.
  *
- * <p>A popular request is in progress on many targets, and where several end at once, as with a rack, it is at all of those ends. What tells it
- * from one that ends targets is that it is answered all the time. One that is not popular is not at three ends at once.
+ * <p>A frequent request runs on many targets, so that it is in progress on all targets of a rack that fails. Recent answers distinguish it
+ * from a request that crashes targets.
  */
-final class RecentAnswers {
+final class RecentResponses {
 
-    /**
-     * How long an answer speaks for a request, in milliseconds: several runs of a request that is in progress on three targets or more at any
-     * time. A request that begins to end targets, with a new version of theirs, is not held back before.
-     */
-    private static final long MEMORY_MILLIS = 10_000;
+    /** How long an answer exempts a request from suspicion. */
+    private static final long RETENTION_MILLIS = 10_000;
 
-    /** Requests kept, about 0.3 MB; an entry answers fewer in that time at the size that is designed for. */
-    private static final int MOST = 2_048;
+    private static final int MAX_REQUESTS = 2_048;
 
     private final Map<RequestDigest, Long> answeredAt = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<RequestDigest, Long> eldest) {
-            return size() > MOST;
+            return size() > MAX_REQUESTS;
         }
     };
 
-    void note(RequestDigest digest, long now) {
+    void add(RequestDigest digest, long now) {
         answeredAt.put(digest, now);
     }
 
-    boolean has(RequestDigest digest, long now) {
+    boolean contains(RequestDigest digest, long now) {
         Long at = answeredAt.get(digest);
-        return at != null && now - at <= MEMORY_MILLIS;
+        return at != null && now - at <= RETENTION_MILLIS;
     }
 }
--- /dev/null
+++ b/serving/src/main/java/org/hallwall/serving/crash/ReplicatedSuspect.java
@@ -0,0 +1,93 @@
+/*
+ * Licensed to the hallwall project under one or more contributor
+ * license agreements.  See the NOTICE file distributed with
+ * this work for additional information regarding copyright
+ * ownership.  The hallwall project licenses this file to You
+ * under the Apache License, Version 2.0 (the "License"); you may
+ * not use this file except in compliance with the License.
+ * You may obtain a copy of the License at
+ *
+ *   https://www.apache.org/licenses/LICENSE-2.0
+ *
+ * Unless required by applicable law or agreed to in writing,
+ * software distributed under the License is distributed on an
+ * "AS IS" BASIS, WITHOUT WARRANTIES OR CONDITIONS OF ANY
+ * KIND, either express or implied.  See the License for the
+ * specific language governing permissions and limitations
+ * under the License.
+ */
+package org.hallwall.serving.crash;
+
+import java.util.ArrayList;
+import java.util.List;
+
+import org.hallwall.core.id.InstanceId;
+
+/**
+ * The replicated state of one suspect. Times are milliseconds since the epoch by the leaders' clocks.
+ *
+ * @param digest the request
+ * @param targets the starts of the targets that crashed while running it
+ * @param held whether it is held back
+ * @param trials the number of trials since it is held back
+ * @param nextTrialAt the earliest time of the next trial; {@link #NEVER} if there is none
+ * @param seenAt the time of its last crash or retry
+ * @param version the version of the state that last changed it
+ */
+record ReplicatedSuspect(
+        RequestDigest digest,
+        List<InstanceId> targets,
+        boolean held,
+        int trials,
+        long nextTrialAt,
+        long seenAt,
+        long version) {
+
+    static final long NEVER = Long.MAX_VALUE;
+
+    private static final long MINUTE_MILLIS = 60_000;
+    private static final long HOUR_MILLIS = 60 * MINUTE_MILLIS;
+
+    /**
+     * The delays before each trial, in milliseconds; every trial risks one target. The first releases a wrongly held request
+     * soon, the second allows for a fixed version of the targets.
+     */
+    private static final long[] TRIAL_DELAYS_MILLIS = {MINUTE_MILLIS, 2 * HOUR_MILLIS};
+
+    /** More than any hold threshold; further targets have no effect. */
+    private static final int MAX_TARGETS = 8;
+
+    static ReplicatedSuspect create(RequestDigest digest, long at) {
+        return new ReplicatedSuspect(digest, List.of(), false, 0, NEVER, at, 0);
+    }
+
+    ReplicatedSuspect withCrash(InstanceId target, long at, long newVersion) {
+        List<InstanceId> all = new ArrayList<>(targets);
+        if (!all.contains(target) && all.size() < MAX_TARGETS) {
+            all.add(target);
+        }
+        return new ReplicatedSuspect(digest, all, held, trials, nextTrialAt, at, newVersion);
+    }
+
+    ReplicatedSuspect withHold(long at, long newVersion) {
+        return new ReplicatedSuspect(digest, targets, true, 0, at + TRIAL_DELAYS_MILLIS[0], at, newVersion);
+    }
+
+    /** Records a retry by a caller, which counts as a trial if one is due. */
+    ReplicatedSuspect withRetry(long at) {
+        if (!isTrialDue(at)) {
+            return new ReplicatedSuspect(digest, targets, held, trials, nextTrialAt, at, version);
+        }
+        int trialsNow = trials + 1;
+        long next = trialsNow < TRIAL_DELAYS_MILLIS.length ? at + TRIAL_DELAYS_MILLIS[trialsNow] : NEVER;
+        return new ReplicatedSuspect(digest, targets, held, trialsNow, next, at, version);
+    }
+
+    boolean isTrialDue(long at) {
+        return held && at >= nextTrialAt;
+    }
+
+    Suspect toSuspect() {
+        return new Suspect(digest, targets, held);
+    }
+}
--- a/serving/src/main/java/org/hallwall/serving/crash/RequestDigest.java
+++ b/serving/src/main/java/org/hallwall/serving/crash/RequestDigest.java
@@ -22,17 +22,17 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Recognises a request that comes again: two requests with the same digest have the same caller, method, path and body.
+ * Identifies repetitions of a request: requests with the same digest have the same workspace, host, method, path and body.
  *
  * @param value the digest in hexadecimal
  */
 public record RequestDigest(@JsonValue String value) implements Comparable<RequestDigest> {
 
-    /** Takes the text as it is. */
+    /** Checks that the digest is not empty. */
     @JsonCreator
     public RequestDigest {
         if (value == null || value.isEmpty()) {
-            throw new IllegalArgumentException("a digest has a value");
+            throw new IllegalArgumentException("the request digest must not be empty");
         }
     }
 
--- a/serving/src/main/java/org/hallwall/serving/crash/RequestDigester.java
+++ b/serving/src/main/java/org/hallwall/serving/crash/RequestDigester.java
@@ -25,17 +25,17 @@
 import org.apache.commons.codec.digest.Blake3;
 
 /**
- * Makes the digests of requests, under a key that all processes of a system share.
+ * Computes keyed digests of requests, with a key that all processes share.
  *
- * <p>The key keeps a reader of the logs from finding out by trial what a caller has sent. The workspace is part of what is
- * digested, so that no request of one workspace is ever taken for that of another.
+ * <p>The key prevents readers of the logs from guessing the content of requests. The workspace is part of the digest, so that requests of
+ * different workspaces are never confused.
  */
 public final class RequestDigester {
 
-    /** The length of a key, in bytes, as BLAKE3 asks for. */
+    /** The key length of BLAKE3 in bytes. */
     public static final int KEY_BYTES = 32;
 
-    /** The length of a digest, in bytes: with 2^32 requests the chance that any two of them share one is below 2^-64. */
+    /** The digest length in bytes: the collision probability among 2^32 requests is below 2^-64. */
     private static final int DIGEST_BYTES = 16;
 
     private final byte[] key;
@@ -47,7 +47,7 @@
      */
     public RequestDigester(byte[] key) {
         if (key.length != KEY_BYTES) {
-            throw new IllegalArgumentException("a key has " + KEY_BYTES + " bytes");
+            throw new IllegalArgumentException("the digest key must have " + KEY_BYTES + " bytes");
         }
         this.key = key.clone();
     }
@@ -56,8 +56,8 @@
      * Digests a request.
      *
      * @param workspace the caller's workspace, or null
-     * @param host the host that the caller names, or null
-     * @param method the method
+     * @param host the requested host, or null
+     * @param method the HTTP method
      * @param uri the path and query
      * @param body the body
      * @return the digest
@@ -73,10 +73,10 @@
         return new RequestDigest(HexFormat.of().formatHex(out));
     }
 
-    /** Adds a text behind its length, so that no two lists of texts look the same; a missing one has the length -1. */
-    private static void add(Blake3 hash, String text) {
-        byte[] bytes = text == null ? new byte[0] : text.getBytes(StandardCharsets.UTF_8);
-        int length = text == null ? -1 : bytes.length;
+    /** Adds a length-prefixed field, so that field boundaries are unambiguous; null has the length -1. */
+    private static void add(Blake3 hash, String field) {
+        byte[] bytes = field == null ? new byte[0] : field.getBytes(StandardCharsets.UTF_8);
+        int length = field == null ? -1 : bytes.length;
         hash.update(ByteBuffer.allocate(Integer.BYTES).putInt(length).array()).update(bytes);
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/crash/Suspect.java
+++ b/serving/src/main/java/org/hallwall/serving/crash/Suspect.java
@@ -23,10 +23,10 @@
 import org.hallwall.core.id.InstanceId;
 
 /**
- * What an entry knows of a request under which targets have ended, and which none has survived since.
+ * A request that was running on crashed targets and that no target has answered since.
  *
  * @param digest the request
- * @param targets the starts of targets that have ended under it
+ * @param targets the starts of the targets that crashed while running it
  * @param held whether it is held back
  */
 public record Suspect(RequestDigest digest, List<InstanceId> targets, boolean held) {}
--- a/serving/src/main/java/org/hallwall/serving/crash/SuspectNews.java
+++ b/serving/src/main/java/org/hallwall/serving/crash/SuspectNews.java
@@ -21,13 +21,13 @@
 import java.util.List;
 
 /**
- * Changes of the suspects that the log holds, for entries.
+ * An update of the replicated suspects, sent to entries.
  *
- * @param key the key of the digests
- * @param version the version that these changes lead to
- * @param whole whether {@code changed} is all there is, and everything else is to be forgotten
- * @param changed the suspects that are new or have changed
- * @param removed the suspects that are none any more
+ * @param key the digest key
+ * @param version the version after this update
+ * @param whole whether {@code changed} is the full state and replaces all earlier suspects
+ * @param changed new and changed suspects
+ * @param removed requests that are no longer suspects
  */
 public record SuspectNews(
         byte[] key, long version, boolean whole, List<Suspect> changed, List<RequestDigest> removed) {}
--- /dev/null
+++ b/serving/src/main/java/org/hallwall/serving/crash/SuspectView.java
@@ -0,0 +1,148 @@
+/*
+ * Licensed to the hallwall project under one or more contributor
+ * license agreements.  See the NOTICE file distributed with
+ * this work for additional information regarding copyright
+ * ownership.  The hallwall project licenses this file to You
+ * under the Apache License, Version 2.0 (the "License"); you may
+ * not use this file except in compliance with the License.
+ * You may obtain a copy of the License at
+ *
+ *   https://www.apache.org/licenses/LICENSE-2.0
+ *
+ * Unless required by applicable law or agreed to in writing,
+ * software distributed under the License is distributed on an
+ * "AS IS" BASIS, WITHOUT WARRANTIES OR CONDITIONS OF ANY
+ * KIND, either express or implied.  See the License for the
+ * specific language governing permissions and limitations
+ * under the License.
+ */
+package org.hallwall.serving.crash;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+import org.hallwall.core.id.InstanceId;
+
+/**
+ * An entry's view of the suspects: the replicated ones, and crashes seen by this entry that are not yet known to be in the log. Both count
+ * together, so that an entry without a connection to a control instance still acts on its own observations. Not thread-safe.
+ */
+final class SuspectView {
+
+    /** Maximum number of requests with crashes that are not in the log yet. */
+    static final int MAX_UNLOGGED = 1_024;
+
+    private final Map<RequestDigest, Suspect> logged = new HashMap<>();
+    private final Map<RequestDigest, Long> updatedAt = new HashMap<>();
+    private final Map<RequestDigest, Set<InstanceId>> unlogged = new LinkedHashMap<>();
+    private long version;
+
+    /** Applies changes unless they have been applied already. */
+    void applyUpdate(SuspectNews news, long now) {
+        if (news.version() <= version) {
+            return;
+        }
+        if (news.whole()) {
+            logged.clear();
+            updatedAt.clear();
+        }
+        news.removed().forEach(this::removeLogged);
+        news.changed().forEach(s -> {
+            logged.put(s.digest(), s);
+            updatedAt.put(s.digest(), now);
+        });
+        version = news.version();
+    }
+
+    private Suspect removeLogged(RequestDigest digest) {
+        updatedAt.remove(digest);
+        return logged.remove(digest);
+    }
+
+    /** Returns the ticker time of a suspect's last update; zero if the suspect is not replicated. */
+    long updatedAt(RequestDigest digest) {
+        return updatedAt.getOrDefault(digest, 0L);
+    }
+
+    long version() {
+        return version;
+    }
+
+    boolean isEmpty() {
+        return logged.isEmpty() && unlogged.isEmpty();
+    }
+
+    /** Adds a crash that is not yet known to be in the log. */
+    void addCrash(InstanceId target, List<RequestDigest> running) {
+        for (RequestDigest d : running) {
+            if (unlogged.containsKey(d) || unlogged.size() < MAX_UNLOGGED) {
+                unlogged.computeIfAbsent(d, x -> new HashSet<>()).add(target);
+            }
+        }
+    }
+
+    /** Drops the local copy of a crash that the log has committed. */
+    void markLogged(EndedTarget e) {
+        for (RequestDigest d : e.running()) {
+            Set<InstanceId> targets = unlogged.get(d);
+            if (targets != null) {
+                targets.remove(e.target());
+                if (targets.isEmpty()) {
+                    unlogged.remove(d);
+                }
+            }
+        }
+    }
+
+    /**
+     * Removes a request that a target has answered.
+     *
+     * @return whether it was a suspect
+     */
+    boolean removeSuspect(RequestDigest digest) {
+        boolean wasUnlogged = unlogged.remove(digest) != null;
+        return removeLogged(digest) != null || wasUnlogged;
+    }
+
+    boolean isSuspect(RequestDigest digest) {
+        return logged.containsKey(digest) || unlogged.containsKey(digest);
+    }
+
+    /**
+     * Returns whether a request is held back.
+     *
+     * @param digest the request
+     * @param alsoUnder further targets that are assumed to have crashed, without confirmation
+     */
+    boolean isHeld(RequestDigest digest, Set<InstanceId> assumedCrashed) {
+        Suspect s = logged.get(digest);
+        if (s != null && s.held()) {
+            return true;
+        }
+        boolean hasUnlogged = unlogged.containsKey(digest) || !assumedCrashed.isEmpty();
+        return hasUnlogged && crashedTargets(digest, assumedCrashed).size() >= CrashLedger.HOLD_THRESHOLD;
+    }
+
+    /** Returns the targets that crashed while running a request. */
+    Set<InstanceId> crashedTargets(RequestDigest digest, Set<InstanceId> assumedCrashed) {
+        Set<InstanceId> all = new HashSet<>(assumedCrashed);
+        Suspect s = logged.get(digest);
+        if (s != null) {
+            all.addAll(s.targets());
+        }
+        all.addAll(unlogged.getOrDefault(digest, Set.of()));
+        return all;
+    }
+
+    int size() {
+        return logged.size();
+    }
+
+    long heldCount() {
+        return logged.values().stream().filter(Suspect::held).count();
+    }
+}
--- a/serving/src/main/java/org/hallwall/serving/crash/BadEndings.java
+++ b/serving/src/main/java/org/hallwall/serving/crash/UnresolvedFailures.java
@@ -30,58 +30,55 @@
 import org.hallwall.core.id.InstanceId;
 
 /**
- * Requests that had no good end at a target of which it is not known yet whether it has ended. Not thread-safe.
+ * Requests that failed at a target that may have crashed. Not thread-safe.
  *
- * <p>A target that ends closes its connections at once, and so may one that lives; the next connection tells them apart.
+ * <p>A live target may close a connection too, so a failure counts as a crash only once a later check confirms it.
  */
-final class BadEndings {
+final class UnresolvedFailures {
 
-    /**
-     * How long the proof is awaited, in milliseconds: a refused connection gives it at once, the announcement of a later start after the
-     * seconds that targets take to come back.
-     */
-    private static final long PROOF_MILLIS = 10_000;
+    /** How long to wait for a crash to be confirmed by a refused connection or by the announcement of a restart. */
+    private static final long CONFIRMATION_MILLIS = 10_000;
 
-    /** Requests kept at most; more than an entry has in progress. */
-    private static final int MOST = 2_048;
+    private static final int MAX_REQUESTS = 2_048;
 
-    private final Map<InstanceId, List<Ending>> byTarget = new HashMap<>();
+    private final Map<InstanceId, List<Failure>> byTarget = new HashMap<>();
     private int count;
 
     void add(InstanceId target, RequestDigest digest, long now) {
-        if (count < MOST) {
-            byTarget.computeIfAbsent(target, t -> new ArrayList<>()).add(new Ending(digest, now + PROOF_MILLIS));
+        if (count < MAX_REQUESTS) {
+            byTarget.computeIfAbsent(target, t -> new ArrayList<>())
+                    .add(new Failure(digest, now + CONFIRMATION_MILLIS));
             count++;
         }
     }
 
-    /** Takes the requests of a target that has ended, each once. */
-    List<RequestDigest> take(InstanceId target, long now) {
-        List<Ending> all = byTarget.remove(target);
+    /** Removes and returns the unexpired failures of a crashed target, without duplicates. */
+    List<RequestDigest> removeTarget(InstanceId target, long now) {
+        List<Failure> all = byTarget.remove(target);
         if (all == null) {
             return List.of();
         }
         count -= all.size();
         return all.stream()
-                .filter(e -> now <= e.until())
-                .map(Ending::digest)
+                .filter(e -> now <= e.expiresAt())
+                .map(Failure::digest)
                 .distinct()
                 .toList();
     }
 
-    /** Forgets a request that a target has survived. */
-    void survived(RequestDigest digest) {
+    /** Removes a request that a target has answered. */
+    void removeRequest(RequestDigest digest) {
         removeIf(e -> e.digest().equals(digest));
     }
 
-    void forgetOld(long now) {
-        removeIf(e -> now > e.until());
+    void removeExpired(long now) {
+        removeIf(e -> now > e.expiresAt());
     }
 
-    private void removeIf(Predicate<Ending> filter) {
-        Iterator<List<Ending>> lists = byTarget.values().iterator();
+    private void removeIf(Predicate<Failure> filter) {
+        Iterator<List<Failure>> lists = byTarget.values().iterator();
         while (lists.hasNext()) {
-            List<Ending> list = lists.next();
+            List<Failure> list = lists.next();
             int before = list.size();
             list.removeIf(filter);
             count -= before - list.size();
@@ -95,8 +92,8 @@
         return Set.copyOf(byTarget.keySet());
     }
 
-    /** Lists the targets where any of these requests had no good end. */
-    List<InstanceId> targetsOf(Collection<RequestDigest> digests) {
+    /** Lists the targets at which any of these requests failed. */
+    List<InstanceId> targetsWithAny(Collection<RequestDigest> digests) {
         return byTarget.entrySet().stream()
                 .filter(t -> t.getValue().stream().anyMatch(e -> digests.contains(e.digest())))
                 .map(Map.Entry::getKey)
@@ -107,5 +104,5 @@
         return count == 0;
     }
 
-    private record Ending(RequestDigest digest, long until) {}
+    private record Failure(RequestDigest digest, long expiresAt) {}
 }
--- a/serving/src/main/java/org/hallwall/serving/crash/package-info.java
+++ b/serving/src/main/java/org/hallwall/serving/crash/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** Requests that end the targets that run them: how they are recognised, and what is remembered of them. */
+/** Detection of requests that crash the targets that run them, and the replicated list of such requests. */
 package org.hallwall.serving.crash;
--- a/serving/src/test/java/org/hallwall/serving/crash/CrashLedgerTest.java
+++ b/serving/src/test/java/org/hallwall/serving/crash/CrashLedgerTest.java
@@ -29,23 +29,23 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the log remembers of requests that end targets: who is held back, for how long, and who is not. */
+/** Which requests are held back after crashes, and when they are released or tried again. */
 class CrashLedgerTest {
 
     private static final long MINUTE = 60_000;
     private static final long HOUR = 60 * MINUTE;
     private static final long START = 1_000_000;
-    private static final RequestDigest GUILTY = new RequestDigest("guilty");
-    private static final RequestDigest THERE = new RequestDigest("there");
+    private static final RequestDigest CRASHING = new RequestDigest("crashing");
+    private static final RequestDigest OTHER = new RequestDigest("other");
 
     private CrashLedger ledger = new CrashLedger();
     private int targets;
 
-    private void ended(long at, RequestDigest... running) {
-        ended("t-" + ++targets, at, running);
+    private void crash(long at, RequestDigest... running) {
+        crash("t-" + ++targets, at, running);
     }
 
-    private void ended(String target, long at, RequestDigest... running) {
+    private void crash(String target, long at, RequestDigest... running) {
         EndedTarget e = new EndedTarget(new InstanceId(target), Arrays.asList(running));
         ledger.apply(CrashCommand.seen(at, List.of(e), List.of()));
     }
@@ -58,136 +58,136 @@
         return ledger.held().stream().anyMatch(s -> s.digest().equals(digest));
     }
 
-    private void hold() {
-        for (int i = 0; i < CrashLedger.ENDED_TO_HOLD; i++) {
-            ended(START, GUILTY);
+    private void holdCrashing() {
+        for (int i = 0; i < CrashLedger.HOLD_THRESHOLD; i++) {
+            crash(START, CRASHING);
         }
-        Assertions.assertTrue(isHeld(GUILTY));
+        Assertions.assertTrue(isHeld(CRASHING));
     }
 
     @Test
-    void theThirdEndHoldsBack() {
-        ended(START, GUILTY);
-        ended(START, GUILTY);
-        Assertions.assertFalse(isHeld(GUILTY));
-        ended(START, GUILTY);
-        Assertions.assertTrue(isHeld(GUILTY));
+    void thirdCrashHoldsRequest() {
+        crash(START, CRASHING);
+        crash(START, CRASHING);
+        Assertions.assertFalse(isHeld(CRASHING));
+        crash(START, CRASHING);
+        Assertions.assertTrue(isHeld(CRASHING));
     }
 
-    /** Several entries had the request on the same target, or one entry says so twice. */
+    /** Several entries may report the same crash, and one entry may report it repeatedly. */
     @Test
-    void anEndThatIsReportedAgainCountsOnce() {
+    void repeatedReportsCountOnce() {
         for (int i = 0; i < 10; i++) {
-            ended("the-same", START, GUILTY);
+            crash("the-same", START, CRASHING);
         }
-        Assertions.assertFalse(isHeld(GUILTY));
+        Assertions.assertFalse(isHeld(CRASHING));
     }
 
     @Test
-    void anAnswerInBetweenClears() {
-        ended(START, GUILTY);
-        ended(START, GUILTY);
-        survived(GUILTY);
-        ended(START, GUILTY);
-        ended(START, GUILTY);
-        Assertions.assertFalse(isHeld(GUILTY));
+    void answerBetweenCrashesClearsSuspect() {
+        crash(START, CRASHING);
+        crash(START, CRASHING);
+        survived(CRASHING);
+        crash(START, CRASHING);
+        crash(START, CRASHING);
+        Assertions.assertFalse(isHeld(CRASHING));
     }
 
     @Test
-    void anAnswerToATrialClears() {
-        hold();
-        survived(GUILTY);
-        Assertions.assertFalse(isHeld(GUILTY));
+    void answerToTrialReleasesRequest() {
+        holdCrashing();
+        survived(CRASHING);
+        Assertions.assertFalse(isHeld(CRASHING));
     }
 
-    /** Ends that a known request explains say nothing of those that ran beside it, whatever the order of their digests. */
+    /** Crashes attributed to a held request do not hold concurrent requests, whatever the order of digests. */
     @ParameterizedTest
     @ValueSource(strings = {"a", "z"})
-    void whoWasOnlyThereIsLetGo(String name) {
-        RequestDigest beside = new RequestDigest(name);
-        ended(START, GUILTY);
-        ended(START, GUILTY, beside);
-        ended(START, GUILTY, beside);
-        ended(START, GUILTY, beside);
-        Assertions.assertTrue(isHeld(GUILTY));
-        Assertions.assertFalse(isHeld(beside));
+    void concurrentRequestIsNotHeld(String name) {
+        RequestDigest concurrent = new RequestDigest(name);
+        crash(START, CRASHING);
+        crash(START, CRASHING, concurrent);
+        crash(START, CRASHING, concurrent);
+        crash(START, CRASHING, concurrent);
+        Assertions.assertTrue(isHeld(CRASHING));
+        Assertions.assertFalse(isHeld(concurrent));
     }
 
-    /** Two that end targets and always ran together: the second is found all the same. */
+    /** Two crashing requests that always run together are both held. */
     @Test
-    void whoWasAlwaysThereIsFoundInTheEnd() {
-        for (int i = 0; i < CrashLedger.ENDED_TO_HOLD_ANYHOW; i++) {
-            ended(START, GUILTY, THERE);
+    void requestsThatAlwaysRunTogetherAreHeld() {
+        for (int i = 0; i < CrashLedger.UNCONDITIONAL_HOLD_THRESHOLD; i++) {
+            crash(START, CRASHING, OTHER);
         }
-        Assertions.assertTrue(isHeld(GUILTY));
-        Assertions.assertTrue(isHeld(THERE));
+        Assertions.assertTrue(isHeld(CRASHING));
+        Assertions.assertTrue(isHeld(OTHER));
     }
 
     @ParameterizedTest
     @CsvSource({
-        // minutes since it is held back, whether a trial is granted
+        // minutes since the request is held, whether a trial is granted
         "0, false",
         "1, true",
         "600, true"
     })
-    void theFirstTrialComesAfterAMinute(long minutes, boolean granted) {
-        hold();
-        Assertions.assertEquals(granted, ledger.apply(CrashCommand.trial(START + minutes * MINUTE, GUILTY)));
+    void firstTrialIsGrantedAfterAMinute(long minutes, boolean granted) {
+        holdCrashing();
+        Assertions.assertEquals(granted, ledger.apply(CrashCommand.trial(START + minutes * MINUTE, CRASHING)));
     }
 
-    /** For as long as it keeps coming, and also over restarts of the voters. */
+    /** The limit holds for as long as callers retry, and across restarts of the voters. */
     @Test
-    void noMoreThanTwoTrialsAreGranted() {
-        hold();
+    void atMostTwoTrialsAreGranted() {
+        holdCrashing();
         int granted = 0;
         for (long at = START; at < START + 200 * HOUR; at += MINUTE) {
-            if (ledger.apply(CrashCommand.trial(at, GUILTY))) {
+            if (ledger.apply(CrashCommand.trial(at, CRASHING))) {
                 granted++;
-                ended(at, GUILTY);
+                crash(at, CRASHING);
             }
             if (at % (10 * MINUTE) == 0) {
                 restart();
             }
         }
         Assertions.assertEquals(2, granted);
-        Assertions.assertTrue(isHeld(GUILTY));
+        Assertions.assertTrue(isHeld(CRASHING));
     }
 
     @ParameterizedTest
     @CsvSource({"23, true", "25, false"})
-    void whatDoesNotComeForADayIsForgotten(long hours, boolean held) {
-        hold();
-        ended(START + hours * HOUR, THERE);
-        Assertions.assertEquals(held, isHeld(GUILTY));
+    void unseenSuspectExpiresAfterADay(long hours, boolean held) {
+        holdCrashing();
+        crash(START + hours * HOUR, OTHER);
+        Assertions.assertEquals(held, isHeld(CRASHING));
     }
 
-    /** A caller that sends another body each time fills the list; it does not push out what is held back. */
+    /** A caller that varies its requests must not evict held ones. */
     @Test
-    void theListIsBoundedAndHeldOnesStay() {
-        hold();
-        for (int i = 0; i < CrashLedger.MOST_SUSPECTS + 100; i++) {
-            ended(START + i, new RequestDigest("varied-" + i));
+    void suspectsAreBoundedAndHeldOnesKept() {
+        holdCrashing();
+        for (int i = 0; i < CrashLedger.MAX_SUSPECTS + 100; i++) {
+            crash(START + i, new RequestDigest("varied-" + i));
         }
         Assertions.assertEquals(
-                CrashLedger.MOST_SUSPECTS, ledger.news(0).changed().size());
-        Assertions.assertTrue(isHeld(GUILTY));
+                CrashLedger.MAX_SUSPECTS, ledger.news(0).changed().size());
+        Assertions.assertTrue(isHeld(CRASHING));
     }
 
-    /** One was taken for the cause of ends that were another's: when it is answered, the other one is held back. */
+    /** When a wrongly held request is answered, its crashes count against the concurrent requests again. */
     @Test
-    void theNextOneIsHeldBackWhenOneWasWronglyHeld() {
-        ended(START, THERE, GUILTY);
-        ended(START, THERE, GUILTY);
-        ended(START, THERE);
-        ended(START, GUILTY);
-        Assertions.assertTrue(isHeld(THERE));
-        Assertions.assertFalse(isHeld(GUILTY));
-        survived(THERE);
-        Assertions.assertTrue(isHeld(GUILTY));
+    void releaseOfAWronglyHeldRequestHoldsTheNext() {
+        crash(START, OTHER, CRASHING);
+        crash(START, OTHER, CRASHING);
+        crash(START, OTHER);
+        crash(START, CRASHING);
+        Assertions.assertTrue(isHeld(OTHER));
+        Assertions.assertFalse(isHeld(CRASHING));
+        survived(OTHER);
+        Assertions.assertTrue(isHeld(CRASHING));
     }
 
     @Test
-    void theKeyIsSetOnce() {
+    void keyIsSetOnce() {
         byte[] first = new byte[RequestDigester.KEY_BYTES];
         byte[] second = new byte[RequestDigester.KEY_BYTES];
         second[0] = 1;
@@ -196,12 +196,12 @@
         Assertions.assertArrayEquals(first, ledger.key());
     }
 
-    /** Commands and snapshots are stored, so what is read back decides as what was written. */
+    /** A snapshot restores the same state. */
     @Test
-    void aRestoredLedgerKnowsTheSame() {
+    void restoredLedgerHasTheSameState() {
         ledger.apply(CrashCommand.key(START, new byte[RequestDigester.KEY_BYTES]));
-        hold();
-        ended(START, THERE);
+        holdCrashing();
+        crash(START, OTHER);
         SuspectNews before = ledger.news(0);
         restart();
         SuspectNews after = ledger.news(0);
@@ -219,17 +219,17 @@
     }
 
     @Test
-    void commandsAreReadAsTheyWereWritten() {
+    void commandsAreDecodedAsEncoded() {
         CrashCommand c = CrashCommand.seen(
-                START, List.of(new EndedTarget(new InstanceId("t/1"), List.of(GUILTY, THERE))), List.of(THERE));
+                START, List.of(new EndedTarget(new InstanceId("t/1"), List.of(CRASHING, OTHER))), List.of(OTHER));
         Assertions.assertEquals(c, CrashCommand.read(c.bytes()));
     }
 
-    /** An entry that follows by changes knows what one knows that asks for everything, however it falls behind. */
+    /** Incremental updates lead to the same state as a full one, however far an entry falls behind. */
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 100, 3_000})
-    void changesAddUpToTheWhole(int pollEvery) {
-        KnownSuspects entry = new KnownSuspects();
+    void incrementalUpdatesMatchTheFullState(int pollEvery) {
+        SuspectView entry = new SuspectView();
         java.util.Random random = new java.util.Random(pollEvery);
         List<RequestDigest> all = IntStream.range(0, 40)
                 .mapToObj(i -> new RequestDigest("d-" + i))
@@ -239,23 +239,23 @@
             if (random.nextInt(3) == 0) {
                 survived(d);
             } else {
-                ended(START, d);
+                crash(START, d);
             }
             if (i % pollEvery == 0) {
-                follow(entry);
+                poll(entry);
             }
         }
-        follow(entry);
+        poll(entry);
         for (RequestDigest d : all) {
             Assertions.assertEquals(isHeld(d), entry.isHeld(d, java.util.Set.of()), d.value());
         }
         Assertions.assertEquals(ledger.news(0).changed().size(), entry.size());
     }
 
-    private void follow(KnownSuspects entry) {
+    private void poll(SuspectView entry) {
         SuspectNews news = ledger.news(entry.version());
         if (news != null) {
-            entry.take(news, 0);
+            entry.applyUpdate(news, 0);
         }
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/crash/CrashSimulationRuns.java
+++ b/serving/src/test/java/org/hallwall/serving/crash/CrashSimulationRuns.java
@@ -22,14 +22,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-import org.hallwall.serving.crash.CrashSimulationTest.Besides;
+import org.hallwall.serving.crash.CrashSimulationTest.Disturbance;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Many simulated days by hand, not part of the tests: {@code mvn -pl serving -am test -Dtest=CrashSimulationRuns
- * -Dsurefire.failIfNoSpecifiedTests=false -Dcrash.entries=9 -Dcrash.targets=15 -Dcrash.perSecond=120 -Dcrash.days=50 -Dcrash.seed=1000}. One
- * line for each kind of day: the seeds are {@code crash.seed} and those after it.
+ * Runs many simulated schedules and prints a summary for each kind; started manually: {@code mvn -pl serving -am test -Dtest=CrashSimulationRuns
+ * -Dsurefire.failIfNoSpecifiedTests=false -Dcrash.entries=9 -Dcrash.targets=15 -Dcrash.perSecond=120 -Dcrash.days=50 -Dcrash.seed=1000}.
+ * Seeds are consecutive, starting at {@code crash.seed}.
  */
 class CrashSimulationRuns {
 
@@ -37,49 +37,49 @@
 
     @ParameterizedTest
     @CsvSource({
-        "guilty, 1, NOTHING",
-        "guilty, 3, NOTHING",
-        "guilty, 3, RACK_ENDS",
-        "guilty, 3, DOMAIN_ENDS",
-        "guilty, 3, DOMAIN_CUT_OFF",
-        "guilty-late, 1, NOTHING",
-        "guilty-late, 3, DOMAIN_ENDS",
-        "guilty-late, 3, DOMAIN_CUT_OFF"
+        "crashing, 1, NOTHING",
+        "crashing, 3, NOTHING",
+        "crashing, 3, RACK_ENDS",
+        "crashing, 3, DOMAIN_ENDS",
+        "crashing, 3, DOMAIN_CUT_OFF",
+        "crashing-late, 1, NOTHING",
+        "crashing-late, 3, DOMAIN_ENDS",
+        "crashing-late, 3, DOMAIN_CUT_OFF"
     })
-    void days(String name, int guilty, Besides besides) {
-        int innocents = 0;
-        int held = 0;
+    void days(String name, int crashing, Disturbance disturbance) {
+        int harmless = 0;
+        int harmlessHeld = 0;
         long slowest = 0;
-        Map<Integer, Integer> ended = new TreeMap<>();
-        int later = 0;
+        Map<Integer, Integer> crashes = new TreeMap<>();
+        int lateSends = 0;
         int days = Integer.getInteger("crash.days", 5);
         for (int day = 0; day < days; day++) {
-            SimulatedCrashes s = day(name, guilty, besides, Integer.getInteger("crash.seed", 1_000) + day);
-            innocents += s.innocents();
-            held += s.innocentsHeld();
-            slowest = Math.max(slowest, s.slowestToKnow());
-            s.endedBy().values().forEach(n -> ended.merge(n, 1, Integer::sum));
-            later = Math.max(
-                    later,
-                    s.sentLater().values().stream().mapToInt(n -> n).max().orElse(0));
+            SimulatedCrashes s = day(name, crashing, disturbance, Integer.getInteger("crash.seed", 1_000) + day);
+            harmless += s.harmless();
+            harmlessHeld += s.harmlessHeld();
+            slowest = Math.max(slowest, s.maxDetectionMillis());
+            s.crashesByRequest().values().forEach(n -> crashes.merge(n, 1, Integer::sum));
+            lateSends = Math.max(
+                    lateSends,
+                    s.lateSends().values().stream().mapToInt(n -> n).max().orElse(0));
         }
         System.out.printf(
-                "%d days, %d of %s, %s: %d of %d innocent ones held back, known after %d ms at most, "
-                        + "targets ended under one and how often %s, sent later than 3 s after the third at most %d times%n",
-                days, guilty, name, besides, held, innocents, slowest, ended, later);
+                "%d days, %d of %s, %s: %d of %d harmless requests held back, held by all entries within %d ms, "
+                        + "crashes per request and their frequency %s, sent at most %d times later than 3 s after the third crash%n",
+                days, crashing, name, disturbance, harmlessHeld, harmless, slowest, crashes, lateSends);
     }
 
-    private static SimulatedCrashes day(String name, int guilty, Besides besides, long seed) {
+    private static SimulatedCrashes day(String name, int crashing, Disturbance disturbance, long seed) {
         int perSecond = Integer.getInteger("crash.perSecond", 120);
         SimulatedCrashes s = new SimulatedCrashes(
                 Integer.getInteger("crash.entries", 9), Integer.getInteger("crash.targets", 15), seed);
         s.run(3, perSecond, 0.3, 5);
-        for (int i : List.of(0, 1, 2).subList(0, guilty)) {
-            s.comes(name + "-" + i, 700);
+        for (int i : List.of(0, 1, 2).subList(0, crashing)) {
+            s.sendPeriodically(name + "-" + i, 700);
             s.run(1, perSecond, 0.3, 5);
         }
         for (int i = 0; i < SECONDS / 5; i++) {
-            besides.happen(s);
+            disturbance.apply(s);
             s.run(5, perSecond, 0.3, 5);
         }
         return s;
--- a/serving/src/test/java/org/hallwall/serving/crash/CrashSimulationTest.java
+++ b/serving/src/test/java/org/hallwall/serving/crash/CrashSimulationTest.java
@@ -26,38 +26,38 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Requests that end targets among many that do not, at the sizes of fleets: how many targets each costs, how soon all entries know it, and
- * whether an innocent request is held back. Innocent ones are popular in part, so that the same is in progress on many targets that end.
+ * Simulates crashing requests among harmless ones: bounds the targets that each crashes and the time until all entries hold it, and checks
+ * that no harmless request is held, even if it is in progress on many targets that fail.
  */
 class CrashSimulationTest {
 
     private static final int SECONDS = 60;
-    /** Retries that are sent later than 3 s after the third end. */
-    private static final int RETRIES = 3;
-    /** In milliseconds: after this all entries in touch must know. */
-    private static final long KNOWN_WITHIN = 3_000;
+    /** Maximum number of sends later than 3 s after the third crash. */
+    private static final int MAX_LATE_SENDS = 3;
+    /** The time in milliseconds within which all connected entries must hold a crashing request. */
+    private static final long MAX_DETECTION_MILLIS = 3_000;
 
-    /** What else happens. */
-    enum Besides {
+    /** Other faults during a run. */
+    enum Disturbance {
         NOTHING(s -> {}),
         ENTRIES_RESTART(SimulatedCrashes::restartEntries),
-        RACK_ENDS(s -> s.endSome(0.1)),
-        DOMAIN_ENDS(s -> s.endSome(0.33)),
-        NO_LEADER(s -> s.leaderless(1_500)),
+        RACK_ENDS(s -> s.crashSome(0.1)),
+        DOMAIN_ENDS(s -> s.crashSome(0.33)),
+        NO_LEADER(s -> s.loseLeader(1_500)),
         DOMAIN_CUT_OFF(s -> s.cutOff(0.33, 4_000));
 
-        private final Consumer<SimulatedCrashes> trouble;
+        private final Consumer<SimulatedCrashes> action;
 
-        Besides(Consumer<SimulatedCrashes> trouble) {
-            this.trouble = trouble;
+        Disturbance(Consumer<SimulatedCrashes> action) {
+            this.action = action;
         }
 
-        void happen(SimulatedCrashes s) {
-            trouble.accept(s);
+        void apply(SimulatedCrashes s) {
+            action.accept(s);
         }
     }
 
-    /** Entries, targets and requests a second grow together; each guilty request comes every 0.7 s to any entry. */
+    /** Each crashing request is sent every 0.7 s to a random entry. */
     @ParameterizedTest
     @CsvSource({
         "9, 15, 120, 1, 1",
@@ -68,61 +68,61 @@
         "82, 40, 500, 10, 6",
         "350, 116, 2000, 10, 7"
     })
-    void guiltyOnesAreHeldBackAndInnocentOnesAreNot(int entries, int targets, int perSecond, int guilty, long seed) {
+    void onlyCrashingRequestsAreHeld(int entries, int targets, int perSecond, int crashing, long seed) {
         SimulatedCrashes s = new SimulatedCrashes(entries, targets, seed);
         s.run(3, perSecond, 0.3, 5);
-        for (int i = 0; i < guilty; i++) {
-            s.comes("guilty-" + i, 700);
+        for (int i = 0; i < crashing; i++) {
+            s.sendPeriodically("crashing-" + i, 700);
             s.run(1, perSecond, 0.3, 5);
         }
-        s.run(SECONDS - guilty, perSecond, 0.3, 5);
-        check(s, "entries " + entries + ", guilty " + guilty);
+        s.run(SECONDS - crashing, perSecond, 0.3, 5);
+        check(s, "entries " + entries + ", crashing " + crashing);
     }
 
     @ParameterizedTest
-    @EnumSource(Besides.class)
-    void theSameWhateverElseHappens(Besides besides) {
+    @EnumSource(Disturbance.class)
+    void onlyCrashingRequestsAreHeldDuringOtherFaults(Disturbance disturbance) {
         SimulatedCrashes s = new SimulatedCrashes(9, 15, 11);
         s.run(3, 120, 0.3, 5);
-        besides.happen(s);
-        s.comes("guilty-0", 700);
+        disturbance.apply(s);
+        s.sendPeriodically("crashing-0", 700);
         for (int i = 0; i < SECONDS / 5; i++) {
             s.run(5, 120, 0.3, 5);
-            besides.happen(s);
+            disturbance.apply(s);
         }
-        check(s, besides.name());
+        check(s, disturbance.name());
     }
 
-    /** A target ends 0.4 s after the entry has left it with the request, and comes back under another name: no connection breaks off. */
+    /** A target that crashes 0.4 s after the entry has abandoned the request, so that the entry sees no connection break. */
     @ParameterizedTest
     @CsvSource({"9, 15, 120, 31", "9, 15, 120, 32", "82, 40, 500, 33", "350, 116, 2000, 34"})
-    void guiltyOnesThatAreLeftBeforeTheEndAreHeldBackToo(int entries, int targets, int perSecond, long seed) {
+    void abandonedRequestsThatCrashAreHeld(int entries, int targets, int perSecond, long seed) {
         SimulatedCrashes s = new SimulatedCrashes(entries, targets, seed);
         s.run(3, perSecond, 0.3, 5);
-        s.comes("guilty-late", 700);
+        s.sendPeriodically("crashing-late", 700);
         s.run(SECONDS, perSecond, 0.3, 5);
-        check(s, "entries " + entries + ", left before the end");
+        check(s, "entries " + entries + ", abandoned before the crash");
     }
 
-    /** Ends without a guilty request: nothing is ever held back, however popular. */
+    /** Crashes without a crashing request hold nothing back, however frequent a request is. */
     @ParameterizedTest
     @CsvSource({"0.05, 0.0", "0.1, 0.3", "0.33, 0.3", "0.33, 0.9"})
-    void endsWithoutAGuiltyRequestHoldNobodyBack(double part, double popular) {
+    void crashesByOtherCausesHoldNothing(double part, double popular) {
         SimulatedCrashes s = new SimulatedCrashes(9, 15, 21);
         for (int i = 0; i < SECONDS; i++) {
-            s.endSome(part / 3);
+            s.crashSome(part / 3);
             s.run(1, 120, popular, 3);
         }
-        check(s, "ends of " + part + ", popular " + popular);
+        check(s, "crashes of " + part + ", popular " + popular);
     }
 
     private static void check(SimulatedCrashes s, String what) {
         String figures = String.format(
-                "%s: targets ended under each %s, sent later %s, known after %d ms, %d of %d innocent ones held back",
-                what, s.endedBy(), s.sentLater(), s.slowestToKnow(), s.innocentsHeld(), s.innocents());
+                "%s: crashes per request %s, late sends %s, held by all entries within %d ms, %d of %d harmless requests held back",
+                what, s.crashesByRequest(), s.lateSends(), s.maxDetectionMillis(), s.harmlessHeld(), s.harmless());
         System.out.println(figures);
-        Assertions.assertTrue(s.sentLater().values().stream().allMatch(n -> n <= RETRIES), figures);
-        Assertions.assertTrue(s.slowestToKnow() <= KNOWN_WITHIN, figures);
-        Assertions.assertEquals(0, s.innocentsHeld(), figures);
+        Assertions.assertTrue(s.lateSends().values().stream().allMatch(n -> n <= MAX_LATE_SENDS), figures);
+        Assertions.assertTrue(s.maxDetectionMillis() <= MAX_DETECTION_MILLIS, figures);
+        Assertions.assertEquals(0, s.harmlessHeld(), figures);
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/crash/RequestDigesterTest.java
+++ b/serving/src/test/java/org/hallwall/serving/crash/RequestDigesterTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A request is the same one again if caller, host, method, path and body are the same, and only then. */
+/** Requests have the same digest exactly if workspace, host, method, path and body are equal. */
 class RequestDigesterTest {
 
     private static final byte[] KEY = new byte[RequestDigester.KEY_BYTES];
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void theSameRequestHasTheSameDigest() {
+    void equalRequestsHaveEqualDigests() {
         Assertions.assertEquals(digest("w", "h", "POST", "/a", "x"), digest("w", "h", "POST", "/a", "x"));
     }
 
@@ -60,12 +60,12 @@
                 "w,hP,OST,/a,x",
                 "w,h,POST,/ax,''"
             })
-    void anyDifferenceGivesAnotherDigest(String workspace, String host, String method, String uri, String body) {
+    void anyDifferenceChangesTheDigest(String workspace, String host, String method, String uri, String body) {
         Assertions.assertNotEquals(digest("w", "h", "POST", "/a", "x"), digest(workspace, host, method, uri, body));
     }
 
     @Test
-    void anotherKeyGivesAnotherDigest() {
+    void keyChangesTheDigest() {
         byte[] other = KEY.clone();
         Arrays.fill(other, (byte) 7);
         byte[] body = "x".getBytes(StandardCharsets.UTF_8);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aKeyOfAnotherLengthIsRefused() {
+    void keyOfWrongLengthIsRejected() {
         Assertions.assertThrows(IllegalArgumentException.class, () -> new RequestDigester(new byte[8]));
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/crash/SimulatedCrashes.java
+++ b/serving/src/test/java/org/hallwall/serving/crash/SimulatedCrashes.java
@@ -34,30 +34,30 @@
 import reactor.core.publisher.Sinks;
 
 /**
- * Entries and targets on a virtual clock: callers of innocent requests, some of them popular, and callers of requests that end the target
- * that runs them. The watch of each entry and the ledger are the real ones; targets, links and the log are only times.
+ * Entries and targets on a virtual clock, with harmless requests and requests that crash their target. {@link CrashWatch} and
+ * {@link CrashLedger} are the real ones; targets, links and the log are simulated by delays.
  */
 final class SimulatedCrashes {
 
-    /** The time between two processes, and to and from a target, in milliseconds. */
-    private static final int HOP = 2;
-    /** The time that a commit takes, in milliseconds. */
-    private static final int COMMIT = 5;
-    /** How long a request takes that nothing ends, and one that ends its target until it does, in milliseconds. */
-    private static final int RUN = 1_000;
+    private static final int NETWORK_DELAY_MILLIS = 2;
+    private static final int COMMIT_MILLIS = 5;
+    /** The average duration of a harmless request. */
+    private static final int RUN_MILLIS = 1_000;
 
-    private static final int TO_THE_END = 80;
-    /** The same of a request that entries have left by then, and how long they wait for it, in milliseconds. */
-    private static final int TO_A_LATE_END = 700;
+    private static final int CRASH_AFTER_MILLIS = 80;
+    /** When a target crashes under a request that entries abandon before. */
+    private static final int LATE_CRASH_AFTER_MILLIS = 700;
 
-    private static final int PATIENCE = 300;
-    /** How long a target is away, in milliseconds. */
-    private static final int AWAY = 8_000;
+    private static final int ABANDON_AFTER_MILLIS = 300;
+    private static final int RESTART_MILLIS = 8_000;
 
+    /** Targets that an entry tries for one call. */
     private static final int ATTEMPTS = 2;
+    /** Calls that a caller makes for one request. */
     private static final int TRIES = 2;
-    private static final int CALLER_PAUSE = 30;
-    private static final int LOOK = 200;
+
+    private static final int CALLER_DELAY_MILLIS = 30;
+    private static final int TICK_MILLIS = 200;
 
     private final Random random;
     private final PriorityQueue<Event> events =
@@ -65,15 +65,15 @@
     private final CrashLedger ledger = new CrashLedger();
     private final List<Entry> entries = new ArrayList<>();
     private final List<Target> targets = new ArrayList<>();
-    private final Map<String, Integer> endedBy = new TreeMap<>();
-    private final Map<String, Long> thirdAt = new HashMap<>();
-    private final Map<String, Integer> sentLater = new TreeMap<>();
+    private final Map<String, Integer> crashesByRequest = new TreeMap<>();
+    private final Map<String, Long> thirdCrashAt = new HashMap<>();
+    private final Map<String, Integer> lateSends = new TreeMap<>();
     private long now = 1_000;
     private long number;
-    private boolean led = true;
-    private int innocents;
-    private int innocentsHeld;
-    private long slowestToKnow;
+    private boolean hasLeader = true;
+    private int harmless;
+    private int harmlessHeld;
+    private long maxDetectionMillis;
 
     SimulatedCrashes(int entryCount, int targetCount, long seed) {
         random = new Random(seed);
@@ -84,113 +84,107 @@
         for (int i = 0; i < targetCount; i++) {
             targets.add(new Target("t-" + i));
         }
-        tell();
-        at(LOOK, this::look);
+        publish();
+        at(TICK_MILLIS, this::tick);
     }
 
-    // --- what a test does
-
-    /** Lets time pass while so many innocent requests a second come; a part of them are about a few popular things. */
-    void run(int seconds, double perSecond, double popularPart, int popular) {
+    /** Advances the clock while harmless requests arrive; a part of them are drawn from a few frequent ones. */
+    void run(int seconds, double perSecond, double frequentPart, int frequentCount) {
         long end = now + seconds * 1_000L;
         while (now < end) {
             now++;
             while (!events.isEmpty() && events.peek().at() <= now) {
                 events.poll().work().run();
             }
-            for (double left = perSecond / 1_000; random.nextDouble() < left; left--) {
-                boolean hot = random.nextDouble() < popularPart;
-                call(hot ? "popular-" + random.nextInt(popular) : "innocent-" + ++number, 1);
+            for (double remaining = perSecond / 1_000; random.nextDouble() < remaining; remaining--) {
+                boolean frequent = random.nextDouble() < frequentPart;
+                call(frequent ? "popular-" + random.nextInt(frequentCount) : "harmless-" + ++number, 1);
             }
         }
     }
 
-    /** A request that ends targets comes from now on so often, at any entry. */
-    void comes(String name, int everyMillis) {
+    /** Sends a crashing request periodically from now on, to random entries. */
+    void sendPeriodically(String name, int everyMillis) {
         call(name, 1);
-        at(everyMillis, () -> comes(name, everyMillis));
+        at(everyMillis, () -> sendPeriodically(name, everyMillis));
     }
 
-    /** The targets of a rack, or of a failure domain, end at once. */
-    void endSome(double part) {
-        targets.stream().filter(t -> random.nextDouble() < part).forEach(Target::end);
+    /** Crashes a random part of the targets at once. */
+    void crashSome(double part) {
+        targets.stream().filter(t -> random.nextDouble() < part).forEach(Target::crash);
     }
 
     void restartEntries() {
         for (int i = 0; i < entries.size(); i++) {
             Entry e = new Entry();
-            // an entry takes callers only when it knows what the log holds
+            // an entry accepts callers only after it has received the suspects
             e.watch.take(ledger.news(0));
-            e.noteKnown();
+            e.recordHeld();
             entries.set(i, e);
         }
     }
 
-    /** Nobody leads the log for a time: reports aren't taken, and nothing is told. */
-    void leaderless(int millis) {
-        led = false;
-        at(millis, () -> led = true);
+    /** Leaves the log without a leader for a time: reports fail and entries get no updates. */
+    void loseLeader(int millis) {
+        hasLeader = false;
+        at(millis, () -> hasLeader = true);
     }
 
-    /** A failure domain's entries are cut off from the log for a time; callers still reach them, and they their targets. */
+    /** Partitions a part of the entries from the log for a time; callers and targets stay connected. */
     void cutOff(double part, int millis) {
-        List<Entry> some =
+        List<Entry> cutOffEntries =
                 entries.stream().filter(e -> random.nextDouble() < part).toList();
-        some.forEach(e -> e.cutOff = true);
+        cutOffEntries.forEach(e -> e.cutOff = true);
         at(millis, () -> {
-            some.forEach(e -> {
+            cutOffEntries.forEach(e -> {
                 e.cutOff = false;
-                e.inTouchSince = now;
+                e.connectedSince = now;
             });
-            tell();
+            publish();
         });
     }
 
-    // --- what it asks
-
-    Map<String, Integer> endedBy() {
-        return endedBy;
+    Map<String, Integer> crashesByRequest() {
+        return crashesByRequest;
     }
 
-    /** Counts how often requests were sent later than a time after the third end under them. */
-    Map<String, Integer> sentLater() {
-        return sentLater;
+    /** Counts sends later than 3 s after the request's third crash. */
+    Map<String, Integer> lateSends() {
+        return lateSends;
     }
 
-    int innocents() {
-        return innocents;
+    int harmless() {
+        return harmless;
     }
 
-    int innocentsHeld() {
-        return innocentsHeld;
+    int harmlessHeld() {
+        return harmlessHeld;
     }
 
-    /** Gives the longest time from a third end, and since an entry is in touch, until it held the request back. */
-    long slowestToKnow() {
-        return slowestToKnow;
+    /** Returns the longest time from a request's third crash until a connected entry held it. */
+    long maxDetectionMillis() {
+        return maxDetectionMillis;
     }
 
-    // --- callers and targets
-
-    private static boolean isGuilty(String name) {
-        return name.startsWith("guilty");
+    private static boolean isCrashing(String name) {
+        return name.startsWith("crashing");
     }
 
-    /** Says whether entries give a request up before its target ends. */
-    private static boolean isLeft(String name) {
-        return name.startsWith("guilty-late");
+    /** Returns whether entries abandon a request before its target crashes. */
+    private static boolean isAbandoned(String name) {
+        return name.startsWith("crashing-late");
     }
 
     private void call(String name, int tries) {
-        if (!isGuilty(name) && tries == 1) {
-            innocents++;
+        if (!isCrashing(name) && tries == 1) {
+            harmless++;
         }
         Entry e = entries.get(random.nextInt(entries.size()));
         RequestDigest digest = e.watch.isWatching() ? new RequestDigest(name) : null;
-        Long[] away = new Long[1];
-        e.watch.holdBackMillis(digest).subscribe(millis -> away[0] = millis);
-        if (away[0] != null) {
-            innocentsHeld += isGuilty(name) ? 0 : 1;
+        Long[] retryMillis = new Long[1];
+        e.watch.holdBackMillis(digest).subscribe(millis -> retryMillis[0] = millis);
+        if (retryMillis[0] != null) {
+            harmlessHeld += isCrashing(name) ? 0 : 1;
             return;
         }
         new Call(name, tries, e).send();
@@ -213,18 +207,18 @@
         return sink.asMono();
     }
 
-    private void look() {
+    private void tick() {
         entries.forEach(e -> e.watch.tick());
-        at(LOOK, this::look);
+        at(TICK_MILLIS, this::tick);
     }
 
-    private void tell() {
+    private void publish() {
         for (Entry e : entries) {
-            at(HOP + random.nextInt(HOP * 2), () -> {
-                SuspectNews news = led && !e.cutOff ? ledger.news(e.watch.version()) : null;
+            at(NETWORK_DELAY_MILLIS + random.nextInt(NETWORK_DELAY_MILLIS * 2), () -> {
+                SuspectNews news = hasLeader && !e.cutOff ? ledger.news(e.watch.version()) : null;
                 if (news != null) {
                     e.watch.take(news);
-                    e.noteKnown();
+                    e.recordHeld();
                 }
             });
         }
@@ -249,20 +243,20 @@
         }
 
         void send() {
-            List<Target> there = targets.stream().filter(t -> t.up).toList();
-            if (there.isEmpty()) {
+            List<Target> running = targets.stream().filter(t -> t.up).toList();
+            if (running.isEmpty()) {
                 return;
             }
             attempts++;
-            noteSend();
-            Target t = there.get(random.nextInt(there.size()));
-            at(HOP, () -> t.take(this));
+            recordSend();
+            Target t = running.get(random.nextInt(running.size()));
+            at(NETWORK_DELAY_MILLIS, () -> t.receive(this));
         }
 
-        private void noteSend() {
-            Long third = thirdAt.get(name);
-            if (third != null && now > third + 3_000 && !entry.cutOff) {
-                sentLater.merge(name, 1, Integer::sum);
+        private void recordSend() {
+            Long thirdCrash = thirdCrashAt.get(name);
+            if (thirdCrash != null && now > thirdCrash + 3_000 && !entry.cutOff) {
+                lateSends.merge(name, 1, Integer::sum);
             }
         }
 
@@ -271,25 +265,25 @@
         }
 
         void refused() {
-            again();
+            retry();
         }
 
-        void left(InstanceId start) {
+        void abandoned(InstanceId start) {
             entry.watch.left(start, digest);
-            again();
+            retry();
         }
 
-        void brokenOff(InstanceId start) {
+        void disconnected(InstanceId start) {
             brokenOffBy.add(start);
             entry.watch.cut(start, digest);
-            again();
+            retry();
         }
 
-        private void again() {
+        private void retry() {
             if (attempts < ATTEMPTS && !entry.watch.isHeld(digest, brokenOffBy)) {
                 send();
             } else if (tries < TRIES) {
-                at(CALLER_PAUSE, () -> call(name, tries + 1));
+                at(CALLER_DELAY_MILLIS, () -> call(name, tries + 1));
             }
         }
     }
@@ -309,49 +303,49 @@
             return new InstanceId(name + "/" + starts);
         }
 
-        void take(Call c) {
+        void receive(Call c) {
             if (!up) {
-                at(HOP, c::refused);
+                at(NETWORK_DELAY_MILLIS, c::refused);
                 return;
             }
             running.add(c);
             int start = starts;
-            boolean guilty = isGuilty(c.name);
-            if (isLeft(c.name)) {
-                at(PATIENCE, () -> {
+            boolean crashing = isCrashing(c.name);
+            if (isAbandoned(c.name)) {
+                at(ABANDON_AFTER_MILLIS, () -> {
                     if (running.remove(c)) {
-                        c.left(start());
+                        c.abandoned(start());
                     }
                 });
             }
-            int toTheEnd = isLeft(c.name) ? TO_A_LATE_END : TO_THE_END;
-            at(guilty ? toTheEnd : RUN / 2 + random.nextInt(RUN), () -> {
+            int crashAfterMillis = isAbandoned(c.name) ? LATE_CRASH_AFTER_MILLIS : CRASH_AFTER_MILLIS;
+            at(crashing ? crashAfterMillis : RUN_MILLIS / 2 + random.nextInt(RUN_MILLIS), () -> {
                 if (start != starts || !up) {
                     return;
                 }
-                if (guilty) {
-                    endedBy.merge(c.name, 1, Integer::sum);
-                    if (endedBy.get(c.name) == CrashLedger.ENDED_TO_HOLD) {
-                        thirdAt.put(c.name, now);
+                if (crashing) {
+                    crashesByRequest.merge(c.name, 1, Integer::sum);
+                    if (crashesByRequest.get(c.name) == CrashLedger.HOLD_THRESHOLD) {
+                        thirdCrashAt.put(c.name, now);
                     }
-                    end();
+                    crash();
                 } else {
                     running.remove(c);
-                    at(HOP, c::answered);
+                    at(NETWORK_DELAY_MILLIS, c::answered);
                 }
             });
         }
 
-        void end() {
+        void crash() {
             if (!up) {
                 return;
             }
             up = false;
-            List<Call> cut = List.copyOf(running);
-            InstanceId ended = start();
+            List<Call> interrupted = List.copyOf(running);
+            InstanceId crashed = start();
             running.clear();
-            cut.forEach(c -> at(HOP, () -> c.brokenOff(ended)));
-            at(AWAY, () -> {
+            interrupted.forEach(c -> at(NETWORK_DELAY_MILLIS, () -> c.disconnected(crashed)));
+            at(RESTART_MILLIS, () -> {
                 starts++;
                 up = true;
             });
@@ -361,15 +355,17 @@
     private final class Entry implements CrashPeers {
 
         private final CrashWatch watch = new CrashWatch(this, Runnable::run, () -> now);
-        private final Set<String> knows = new HashSet<>();
-        private long inTouchSince = now;
+        private final Set<String> heldRequests = new HashSet<>();
+        private long connectedSince = now;
         private boolean cutOff;
 
-        void noteKnown() {
-            for (Map.Entry<String, Long> third : thirdAt.entrySet()) {
-                if (!knows.contains(third.getKey()) && watch.isHeld(new RequestDigest(third.getKey()), Set.of())) {
-                    knows.add(third.getKey());
-                    slowestToKnow = Math.max(slowestToKnow, now - Math.max(inTouchSince, third.getValue()));
+        void recordHeld() {
+            for (Map.Entry<String, Long> thirdCrash : thirdCrashAt.entrySet()) {
+                if (!heldRequests.contains(thirdCrash.getKey())
+                        && watch.isHeld(new RequestDigest(thirdCrash.getKey()), Set.of())) {
+                    heldRequests.add(thirdCrash.getKey());
+                    maxDetectionMillis =
+                            Math.max(maxDetectionMillis, now - Math.max(connectedSince, thirdCrash.getValue()));
                 }
             }
         }
@@ -377,14 +373,14 @@
         @Override
         public Mono<Boolean> answers(InstanceId target) {
             return later(
-                    HOP * 2,
+                    NETWORK_DELAY_MILLIS * 2,
                     () -> targets.stream().anyMatch(t -> t.up && t.start().equals(target)));
         }
 
         @Override
         public Mono<Boolean> refuses(InstanceId target) {
             return later(
-                    HOP * 2,
+                    NETWORK_DELAY_MILLIS * 2,
                     () -> targets.stream().anyMatch(t -> !t.up && t.start().equals(target)));
         }
 
@@ -395,12 +391,12 @@
 
         @Override
         public Mono<Long> report(List<EndedTarget> ended, List<RequestDigest> survived) {
-            return later(HOP + COMMIT, () -> {
-                if (!led || cutOff) {
+            return later(NETWORK_DELAY_MILLIS + COMMIT_MILLIS, () -> {
+                if (!hasLeader || cutOff) {
                     return null;
                 }
                 ledger.apply(CrashCommand.seen(now, ended, survived));
-                tell();
+                publish();
                 return ledger.version();
             });
         }
