--- a/serving/src/main/java/org/hallwall/serving/availability/TargetAvailability.java
+++ b/serving/src/main/java/org/hallwall/serving/availability/TargetAvailability.java
@@ -82,7 +82,7 @@
     public void takeAnswer(InstanceId target, TargetNotice notice, long askedAt) {
         take(target, notice, askedAt);
         if (notice.limit() == null && notice.unread() == null) {
-            limiter.take(target, new LimitStatement(null, askedAt, ticker.millis()));
+            limiter.applyStatement(target, new LimitStatement(null, askedAt, ticker.millis()));
         }
     }
 
@@ -108,7 +108,7 @@
             c.drains();
         }
         if (notice.limit() != null) {
-            limiter.take(target, new LimitStatement(notice.limit(), askedAt, ticker.millis()));
+            limiter.applyStatement(target, new LimitStatement(notice.limit(), askedAt, ticker.millis()));
         }
         if (notice.backoffMillis() > 0) {
             backOff(target, notice.backoffMillis());
@@ -159,7 +159,7 @@
     public synchronized boolean tryRequest(InstanceId target) {
         TargetCondition c = conditions.get(target);
         boolean available = c == null || c.isAvailable(ticker.millis());
-        return available && limiter.tryTake(target);
+        return available && limiter.tryAcquire(target);
     }
 
     /**
@@ -169,7 +169,7 @@
      * @return true if it may be sent
      */
     public synchronized boolean tryControl(InstanceId target) {
-        return !isBackingOff(target) && limiter.tryTake(target);
+        return !isBackingOff(target) && limiter.tryAcquire(target);
     }
 
     /**
--- a/serving/src/main/java/org/hallwall/serving/permit/EntryPermits.java
+++ b/serving/src/main/java/org/hallwall/serving/permit/EntryPermits.java
@@ -30,24 +30,24 @@
 import org.jboss.logging.Logger;
 
 /**
- * An entry's permits for targets with a rate limit, and what it asks their accounts for. While no account answers, it gives itself a
- * fixed part of its even share, at moments that chance draws: so neither all entries that are cut off nor both sides of a cut
- * add up to much more than the limit. Safe for all threads.
+ * The permits that an entry holds for rate-limited targets, and its requests for more. While no control instance answers, the entry issues
+ * local permits: a fixed fraction of its even share at a random phase, so that partitioned entries do not add up to much more than the
+ * limit. Thread-safe.
  */
 public final class EntryPermits implements RateLimiter {
 
     private static final Logger LOG = Logger.getLogger(EntryPermits.class);
-    /** The part of the limit that all entries together use without an account. */
-    private static final double ALONE_PART = 0.3;
-    /** How long an account may be silent before the entry goes by its own share, in milliseconds: a lease and a round trip. */
-    private static final long SILENT_MILLIS = 600;
+    /** The fraction of the limit that all entries together use through local permits. */
+    private static final double LOCAL_FRACTION = 0.3;
+    /** How long a request may stay unanswered before the entry issues local permits. */
+    private static final long ANSWER_TIMEOUT_MILLIS = 600;
 
-    /** When an account that goes by another statement is told the own one again, in milliseconds. */
-    private static final long AGAIN_MILLIS = 1_000;
+    /** The interval at which a limit is reported again while the control instance has another one. */
+    private static final long REPORT_INTERVAL_MILLIS = 1_000;
 
-    private static final double MILLIS_A_SECOND = 1_000;
-    /** Targets that are remembered at most; the one that was used least lately goes first. */
-    private static final int MOST_REMEMBERED = 4_096;
+    private static final double MILLIS_PER_SECOND = 1_000;
+    /** Maximum number of targets; the least recently used one is evicted. */
+    private static final int MAX_TARGETS = 4_096;
 
     private final Ticker ticker;
     private final DoubleSupplier random;
@@ -56,7 +56,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<InstanceId, LimitedTarget> eldest) {
-            return size() > MOST_REMEMBERED;
+            return size() > MAX_TARGETS;
         }
     };
     private Runnable onDue = () -> {};
@@ -64,10 +64,10 @@
     private int entries;
 
     /**
-     * Creates it; no target has a limit.
+     * Creates it without rate limits.
      *
      * @param ticker the clock
-     * @param random draws from 0 to 1
+     * @param random a source of random numbers between 0 and 1
      */
     public EntryPermits(Ticker ticker, DoubleSupplier random) {
         this.ticker = ticker;
@@ -75,25 +75,25 @@
     }
 
     /**
-     * Sets what is told when there may be something to ask the accounts.
+     * Sets the listener that is called when a request for permits may be due.
      *
-     * @param listener what is told; it must not block
+     * @param listener the listener; it must not block
      */
     public synchronized void onDue(Runnable listener) {
         onDue = listener;
     }
 
     /**
-     * Tells how many entries share each limit.
+     * Sets the number of entries that share each limit.
      *
-     * @param most the most that there were lately; zero if that is not known
+     * @param most the recent maximum; zero if unknown
      */
     public synchronized void entries(int most) {
         entries = most;
     }
 
     @Override
-    public synchronized void take(InstanceId target, LimitStatement statement) {
+    public synchronized void applyStatement(InstanceId target, LimitStatement statement) {
         LimitedTarget t = targets.get(target);
         if (t == null) {
             if (statement.limit() == null) {
@@ -102,20 +102,20 @@
             t = new LimitedTarget(statement);
             targets.put(target, t);
             LOG.infof("targets: %s names a rate limit of %s", target, statement.limit());
-        } else if (t.take(statement)) {
+        } else if (t.applyStatement(statement)) {
             LOG.infof(
                     "targets: %s names %s",
                     target, t.isLimited() ? "a rate limit of " + statement.limit() : "no rate limit any more");
         }
-        if (t.dueAt(ticker.millis()) < Long.MAX_VALUE) {
+        if (t.requestDueAt(ticker.millis()) < Long.MAX_VALUE) {
             onDue.run();
         }
     }
 
     /**
-     * Takes what other entries have heard, as the accounts tell.
+     * Applies the limits that other entries have received from targets.
      *
-     * @param reports what targets have said
+     * @param reports the limits, as the control instance reports them
      */
     public synchronized void learn(List<LimitReport> reports) {
         long now = ticker.millis();
@@ -131,7 +131,7 @@
             t = new LimitedTarget(new LimitStatement(null, now, now));
             targets.put(report.target(), t);
         }
-        if (t.learn(report, now)) {
+        if (t.applyReport(report, now)) {
             LOG.infof(
                     "targets: %s has named %s to another entry",
                     report.target(), t.isLimited() ? "a rate limit of " + report.limit() : "no rate limit any more");
@@ -146,27 +146,27 @@
     }
 
     /**
-     * Gives the limit of a target.
+     * Returns the effective rate limit of a target.
      *
-     * @param target the start of the target
-     * @return requests a second; zero if it has none
+     * @param target the target's start
+     * @return requests per second; zero if it has no limit
      */
     public synchronized double perSecond(InstanceId target) {
         LimitedTarget t = targets.get(target);
         return t == null || !t.isLimited()
                 ? 0
-                : PermitAccount.rate(t.statement().limit());
+                : PermitBucket.effectiveRate(t.statement().limit());
     }
 
     /**
-     * Notes a request that would go to a limited target.
+     * Records demand for a permit.
      *
-     * @param target the start of the target
+     * @param target the target's start
      */
     public synchronized void want(InstanceId target) {
         LimitedTarget t = targets.get(target);
         if (t != null && t.isLimited()) {
-            t.want(ticker.millis());
+            t.recordDemand(ticker.millis());
             onDue.run();
         }
     }
@@ -174,76 +174,76 @@
     @Override
     public synchronized boolean hasPermit(InstanceId target) {
         LimitedTarget t = targets.get(target);
-        return t == null || !t.isLimited() || held(t) > 0;
+        return t == null || !t.isLimited() || available(t) > 0;
     }
 
     @Override
-    public synchronized boolean tryTake(InstanceId target) {
+    public synchronized boolean tryAcquire(InstanceId target) {
         LimitedTarget t = targets.get(target);
         if (t == null || !t.isLimited()) {
             return true;
         }
-        planOwn(t, ticker.millis());
-        return t.tryTake(ticker.millis());
+        updateLocalPermit(t, ticker.millis());
+        return t.tryAcquire(ticker.millis());
     }
 
     @Override
     public synchronized long retryMillis(InstanceId target) {
         LimitedTarget t = targets.get(target);
-        if (t == null || !t.isLimited() || held(t) > 0) {
+        if (t == null || !t.isLimited() || available(t) > 0) {
             return 0;
         }
         return t.retryMillis(ticker.millis());
     }
 
-    private int held(LimitedTarget t) {
+    private int available(LimitedTarget t) {
         long now = ticker.millis();
-        planOwn(t, now);
-        return t.held(now);
+        updateLocalPermit(t, now);
+        return t.available(now);
     }
 
-    /** Without an account the entry's own permits come at even distances, from a moment that chance draws. */
-    private void planOwn(LimitedTarget t, long now) {
-        if (now - unansweredSince < SILENT_MILLIS || entries == 0) {
-            t.dropOwn();
+    /** Issues local permits at even intervals with a random phase while no control instance answers. */
+    private void updateLocalPermit(LimitedTarget t, long now) {
+        if (now - unansweredSince < ANSWER_TIMEOUT_MILLIS || entries == 0) {
+            t.cancelLocalPermit();
             return;
         }
-        double rate = PermitAccount.rate(t.statement().limit()) * ALONE_PART / entries;
-        long distance = Math.max(1, (long) (MILLIS_A_SECOND / rate));
-        if (t.ownFrom() == Long.MAX_VALUE) {
-            t.planOwn(now + (long) (distance * random.getAsDouble()));
-        } else if (t.isOwnOver(now)) {
-            // those whose time passed unseen are not made up for
-            long missed = Math.max(0, now - LimitedTarget.LEASE_MILLIS - t.ownFrom()) / distance;
-            t.planOwn(t.ownFrom() + (missed + 1) * distance);
+        double rate = PermitBucket.effectiveRate(t.statement().limit()) * LOCAL_FRACTION / entries;
+        long interval = Math.max(1, (long) (MILLIS_PER_SECOND / rate));
+        if (t.localPermitFrom() == Long.MAX_VALUE) {
+            t.issueLocalPermit(now + (long) (interval * random.getAsDouble()));
+        } else if (t.isLocalPermitSpent(now)) {
+            // intervals that passed unused are skipped
+            long missed = Math.max(0, now - LimitedTarget.LEASE_MILLIS - t.localPermitFrom()) / interval;
+            t.issueLocalPermit(t.localPermitFrom() + (missed + 1) * interval);
         }
     }
 
     /**
-     * Says when the accounts are to be asked.
+     * Returns the time until the next request for permits is due.
      *
-     * @return milliseconds from now; negative if there is nothing to ask
+     * @return the time in milliseconds; negative if there is nothing to request
      */
     public synchronized long dueMillis() {
         long now = ticker.millis();
         long due = Long.MAX_VALUE;
         for (LimitedTarget t : targets.values()) {
-            due = Math.min(due, t.dueAt(now));
+            due = Math.min(due, t.requestDueAt(now));
         }
         return due == Long.MAX_VALUE ? -1 : due - now;
     }
 
     /**
-     * Gives what is to be asked now.
+     * Returns the requests for permits that are due now.
      *
-     * @return the asks, by target
+     * @return one request for each target
      */
     public synchronized List<PermitAsk> asks() {
         long now = ticker.millis();
         List<PermitAsk> out = new ArrayList<>();
         targets.forEach((target, t) -> {
-            if (t.dueAt(now) <= now) {
-                out.add(new PermitAsk(t.report(target, now), t.isUntold(), t.wanted(), t.takeUnused()));
+            if (t.requestDueAt(now) <= now) {
+                out.add(new PermitAsk(t.report(target, now), t.isUnreported(), t.demand(), t.drainUnused()));
             }
         });
         if (!out.isEmpty()) {
@@ -253,40 +253,40 @@
     }
 
     /**
-     * Takes the answer of the accounts.
+     * Applies the answer to a request for permits.
      *
-     * @param grants what this entry gets
-     * @param askedAt when it asked, on the own clock
+     * @param grants the granted permits
+     * @param requestedAt the ticker time at which they were requested
      */
-    public synchronized void take(List<PermitGrant> grants, long askedAt) {
+    public synchronized void take(List<PermitGrant> grants, long requestedAt) {
         long now = ticker.millis();
         unansweredSince = Long.MAX_VALUE;
         for (PermitGrant g : grants) {
-            LimitedTarget told = targets.get(g.limit().target());
-            if (told != null) {
-                told.told();
+            LimitedTarget reported = targets.get(g.limit().target());
+            if (reported != null) {
+                reported.markReported();
             }
             LimitedTarget t = learn(g.limit(), now);
             if (t != null) {
-                t.granted(g.permits(), askedAt, now);
-                t.askAt(now + (t.isKnownToAccount() ? g.retryMillis() : AGAIN_MILLIS));
+                t.addPermits(g.permits(), requestedAt, now);
+                t.nextRequestAt(now + (t.isKnownToAllocator() ? g.retryMillis() : REPORT_INTERVAL_MILLIS));
             }
         }
     }
 
     /**
-     * Counts the targets with a limit.
+     * Returns the number of rate-limited targets.
      *
-     * @return how many
+     * @return the number of targets
      */
     public synchronized int limited() {
         return (int) targets.values().stream().filter(LimitedTarget::isLimited).count();
     }
 
     /**
-     * Gives the limits in force.
+     * Returns the limits in force.
      *
-     * @return requests a second by target, as targets have named them
+     * @return requests per second by target, as targets declared them
      */
     public synchronized Map<String, Double> limits() {
         Map<String, Double> out = new TreeMap<>();
@@ -299,9 +299,9 @@
     }
 
     /**
-     * Tells the limits in force, for people.
+     * Describes the limits in force, for diagnostics.
      *
-     * @return limit, age and permits by target
+     * @return limit, age and available permits by target
      */
     public synchronized Map<String, String> describe() {
         long now = ticker.millis();
@@ -310,8 +310,9 @@
             if (t.isLimited()) {
                 out.put(
                         target.value(),
-                        t.statement().limit() + ", said " + (now - t.statement().heardAt()) + " ms ago, " + t.held(now)
-                                + " permits here");
+                        t.statement().limit() + ", declared "
+                                + (now - t.statement().receivedAt()) + " ms ago, " + t.available(now)
+                                + " permits available");
             }
         });
         return out;
--- a/serving/src/main/java/org/hallwall/serving/permit/LimitReport.java
+++ b/serving/src/main/java/org/hallwall/serving/permit/LimitReport.java
@@ -21,21 +21,21 @@
 import org.hallwall.core.id.InstanceId;
 
 /**
- * The limit of a target as processes tell it to each other. Ages and times of one process say little to another one that may have been
- * suspended, so the order of statements goes by the version of the account.
+ * The rate limit of a target as exchanged between entries and control instances. Ordered by version, since clocks and ages are unreliable
+ * after a process was suspended.
  *
- * @param target the start of the target
- * @param perSecond the requests a second that it takes from all entries; null if it names no limit
- * @param version from the account: the version of the limit; from an entry: the version that it knew when it sent the request
- *     that was answered, or zero
- * @param ageMillis how long ago the target said so, in milliseconds; for people only
+ * @param target the target's start
+ * @param perSecond the requests per second that it accepts from all entries; null for no limit
+ * @param version from the control instance: the version of the limit; from an entry: the version that it knew when it sent the request
+ *     whose answer declared the limit, or zero
+ * @param ageMillis the age of the declaration in milliseconds; for diagnostics only
  */
 public record LimitReport(InstanceId target, Double perSecond, long version, long ageMillis) {
 
     /**
-     * Gives the limit.
+     * Returns the limit.
      *
-     * @return the limit; null if there is none
+     * @return the limit; null for none
      */
     public RateLimit limit() {
         return perSecond == null ? null : new RateLimit(perSecond);
--- a/serving/src/main/java/org/hallwall/serving/permit/LimitStatement.java
+++ b/serving/src/main/java/org/hallwall/serving/permit/LimitStatement.java
@@ -21,43 +21,43 @@
 import java.util.Objects;
 
 /**
- * What an answer says of the rate limit of its target, and when that was, on the clock of the entry that heard it.
+ * A target's declaration of its rate limit in a response, with times on the clock of the entry that received it.
  *
- * @param limit the limit; null if the answer names none
- * @param askedAt when the request was sent that it answers, in milliseconds
- * @param heardAt when it came, in milliseconds
+ * @param limit the limit; null if the response declares none
+ * @param requestedAt when the request was sent, in milliseconds
+ * @param receivedAt when the response was received, in milliseconds
  */
-public record LimitStatement(RateLimit limit, long askedAt, long heardAt) {
+public record LimitStatement(RateLimit limit, long requestedAt, long receivedAt) {
 
     /**
-     * Says whether this statement is in force instead of an earlier one of the same entry. Answers may overtake each other, so a laxer
-     * statement counts only if it was surely made later, while a stricter one does no harm until the next answer.
+     * Returns whether this statement replaces the one in force at the same entry. Responses may be reordered, so a
+     * less strict limit applies only if it was certainly declared later, while a stricter one always applies.
      *
      * @param known the statement in force; null if there is none
-     * @return true if this one replaces it
+     * @return true if this statement replaces it
      */
     public boolean replaces(LimitStatement known) {
         if (known == null) {
             return limit != null;
         }
-        return isStricterThan(known.limit) || isSameLimit(known.limit) || askedAt >= known.heardAt;
+        return isStricterThan(known.limit) || isSameLimit(known.limit) || requestedAt >= known.receivedAt;
     }
 
     /**
-     * Says whether the statement names a stricter limit than another one.
+     * Returns whether this statement's limit is stricter than another limit.
      *
      * @param other the other limit; null for none
-     * @return true if it does
+     * @return true if it is stricter
      */
     boolean isStricterThan(RateLimit other) {
         return limit != null && limit.isStricterThan(other);
     }
 
     /**
-     * Says whether the statement names the same limit.
+     * Returns whether this statement has the given limit.
      *
-     * @param other the other limit; null for none
-     * @return true if it does, also if both name none
+     * @param other the limit; null for none
+     * @return true if both are equal or none
      */
     boolean isSameLimit(RateLimit other) {
         return Objects.equals(limit, other);
--- a/serving/src/main/java/org/hallwall/serving/permit/LimitedTarget.java
+++ b/serving/src/main/java/org/hallwall/serving/permit/LimitedTarget.java
@@ -23,35 +23,35 @@
 
 import org.hallwall.core.id.InstanceId;
 
-/** One target with a rate limit, as an entry sees it: its permits here and the requests that want one. Guarded by {@link EntryPermits}. */
+/** An entry's state for one rate-limited target: permits, demand and the limit in force. Guarded by {@link EntryPermits}. */
 final class LimitedTarget {
 
     /**
-     * How long a permit may be used, in milliseconds from the moment at which it was asked for: a few requests of an entry come in that
-     * time, and the sum over all entries in a window exceeds the limit by no more than the permits of one lease.
+     * How long a permit is valid, in milliseconds from the time at which it was requested. The sum over all entries exceeds the limit by at
+     * most the permits of one lease.
      */
     static final long LEASE_MILLIS = 1_000;
-    /** How long a request that found no permit counts as demand, in milliseconds. */
-    private static final long WANT_MILLIS = 1_000;
-    /** How many requests count at most; the account holds no more permits than an entry can use in a lease. */
-    private static final int MOST_WANTED = 64;
+    /** How long a request counts as demand. */
+    private static final long DEMAND_MILLIS = 1_000;
+    /** Maximum demand that is reported. */
+    private static final int MAX_DEMAND = 64;
 
-    private final Deque<Long> leasedUntil = new ArrayDeque<>();
-    private final Deque<Long> wantedUntil = new ArrayDeque<>();
+    private final Deque<Long> permitExpiry = new ArrayDeque<>();
+    private final Deque<Long> demandExpiry = new ArrayDeque<>();
     private LimitStatement statement;
-    private boolean untold;
-    private LimitStatement telling;
-    private RateLimit accountLimit;
-    private long accountVersion;
+    private boolean unreported;
+    private LimitStatement reportedStatement;
+    private RateLimit allocatorLimit;
+    private long allocatorVersion;
     private long versionKnownAt;
     private int unused;
-    private long askAt;
-    private long ownFrom = Long.MAX_VALUE;
-    private boolean ownUsed;
+    private long nextRequestAt;
+    private long localPermitFrom = Long.MAX_VALUE;
+    private boolean localPermitUsed;
 
     LimitedTarget(LimitStatement statement) {
         this.statement = statement;
-        this.untold = isLimited();
+        this.unreported = isLimited();
     }
 
     LimitStatement statement() {
@@ -62,150 +62,152 @@
         return statement.limit() != null;
     }
 
-    /** Takes a statement and says whether it changes the limit. */
-    boolean take(LimitStatement s) {
+    /** Applies a statement and returns whether it changes the limit. */
+    boolean applyStatement(LimitStatement s) {
         if (!s.replaces(statement)) {
             return false;
         }
         boolean changed = !s.isSameLimit(statement.limit());
         statement = s;
-        untold |= changed;
+        unreported |= changed;
         return changed;
     }
 
     /**
-     * Takes what the account goes by. It holds for this entry too, unless that has just heard something else which the account was not told.
+     * Applies the limit of the control instance, unless this entry has received another one that it has not reported yet.
      *
      * @return whether the limit changes
      */
-    boolean learn(LimitReport report, long now) {
-        boolean next = report.version() != accountVersion;
-        accountLimit = report.limit();
-        accountVersion = report.version();
-        versionKnownAt = next ? now : versionKnownAt;
-        boolean takes = !untold && !statement.isSameLimit(accountLimit);
-        if (takes) {
-            statement = new LimitStatement(accountLimit, now, now);
+    boolean applyReport(LimitReport report, long now) {
+        boolean isNewVersion = report.version() != allocatorVersion;
+        allocatorLimit = report.limit();
+        allocatorVersion = report.version();
+        versionKnownAt = isNewVersion ? now : versionKnownAt;
+        boolean changed = !unreported && !statement.isSameLimit(allocatorLimit);
+        if (changed) {
+            statement = new LimitStatement(allocatorLimit, now, now);
         }
-        return takes;
+        return changed;
     }
 
-    /** Says whether the account is to be told what was heard. */
-    boolean isUntold() {
-        return untold;
+    /** Returns whether the limit has to be reported to the control instance. */
+    boolean isUnreported() {
+        return unreported;
     }
 
-    /** Notes that the account has answered the last report. */
-    void told() {
-        untold &= statement != telling;
+    /** Records that the control instance has answered the last report. */
+    void markReported() {
+        unreported &= statement != reportedStatement;
     }
 
-    /** Reports the limit to the account, with the version that was known when the request was sent that was answered. */
+    /** Creates a report with the version that was known when the request was sent whose response declared the limit. */
     LimitReport report(InstanceId target, long now) {
-        telling = statement;
-        long basedOn = statement.askedAt() >= versionKnownAt ? accountVersion : 0;
+        reportedStatement = statement;
+        long basedOn = statement.requestedAt() >= versionKnownAt ? allocatorVersion : 0;
         Double perSecond = isLimited() ? statement.limit().perSecond() : null;
-        return new LimitReport(target, perSecond, basedOn, now - statement.heardAt());
+        return new LimitReport(target, perSecond, basedOn, now - statement.receivedAt());
     }
 
-    /** Notes a request that may want a permit. */
-    void want(long now) {
+    /** Records a request that may need a permit. */
+    void recordDemand(long now) {
         expire(now);
-        if (wantedUntil.size() < MOST_WANTED) {
-            wantedUntil.add(now + WANT_MILLIS);
+        if (demandExpiry.size() < MAX_DEMAND) {
+            demandExpiry.add(now + DEMAND_MILLIS);
         }
     }
 
-    int wanted() {
-        return wantedUntil.size();
+    int demand() {
+        return demandExpiry.size();
     }
 
-    int held(long now) {
+    int available(long now) {
         expire(now);
-        return leasedUntil.size() + (hasOwn(now) ? 1 : 0);
+        return permitExpiry.size() + (hasLocalPermit(now) ? 1 : 0);
     }
 
-    /** Uses up a permit; the account's before the own one. */
-    boolean tryTake(long now) {
+    /** Uses a permit; granted permits before a local one. */
+    boolean tryAcquire(long now) {
         expire(now);
-        if (leasedUntil.poll() != null) {
+        if (permitExpiry.poll() != null) {
             return true;
         }
-        boolean own = hasOwn(now);
-        ownUsed |= own;
-        return own;
+        boolean local = hasLocalPermit(now);
+        localPermitUsed |= local;
+        return local;
     }
 
-    /** Takes permits that were asked for at a moment. */
-    void granted(int permits, long askedAt, long now) {
+    /** Adds granted permits, whose lease starts when they were requested. */
+    void addPermits(int permits, long requestedAt, long now) {
         for (int i = 0; i < permits; i++) {
-            leasedUntil.add(askedAt + LEASE_MILLIS);
-            wantedUntil.poll();
+            permitExpiry.add(requestedAt + LEASE_MILLIS);
+            demandExpiry.poll();
         }
         expire(now);
     }
 
-    void askAt(long at) {
-        askAt = at;
+    void nextRequestAt(long at) {
+        nextRequestAt = at;
     }
 
-    /** Says when the account is to be asked, on the own clock; never if there is nothing to ask or to tell. */
-    long dueAt(long now) {
+    /** Returns the ticker time of the next request to the control instance; {@link Long#MAX_VALUE} if there is nothing to request. */
+    long requestDueAt(long now) {
         expire(now);
-        if (untold) {
+        if (unreported) {
             return now;
         }
-        return isKnownToAccount() && wantedUntil.isEmpty() && unused == 0 ? Long.MAX_VALUE : Math.max(now, askAt);
+        return isKnownToAllocator() && demandExpiry.isEmpty() && unused == 0
+                ? Long.MAX_VALUE
+                : Math.max(now, nextRequestAt);
     }
 
-    /** Gives the permits that were not used, once. */
-    int takeUnused() {
+    /** Returns the number of permits that expired unused since the last call. */
+    int drainUnused() {
         int out = unused;
         unused = 0;
         return out;
     }
 
-    /** Plans a permit of this entry's own, for as long as the account cannot be asked. */
-    void planOwn(long from) {
-        ownFrom = from;
-        ownUsed = false;
+    /** Issues a local permit, valid from the given time. */
+    void issueLocalPermit(long from) {
+        localPermitFrom = from;
+        localPermitUsed = false;
     }
 
-    /** Says when the own permit may be used from; never if none is planned. */
-    long ownFrom() {
-        return ownFrom;
+    /** Returns the time from which the local permit is valid; {@link Long#MAX_VALUE} if there is none. */
+    long localPermitFrom() {
+        return localPermitFrom;
     }
 
-    /** Says whether the own permit is used or its time is over. */
-    boolean isOwnOver(long now) {
-        return ownUsed || ownFrom != Long.MAX_VALUE && now >= ownFrom + LEASE_MILLIS;
+    /** Returns whether the local permit is used or expired. */
+    boolean isLocalPermitSpent(long now) {
+        return localPermitUsed || localPermitFrom != Long.MAX_VALUE && now >= localPermitFrom + LEASE_MILLIS;
     }
 
-    /** Says whether the account knows the same limit. */
-    boolean isKnownToAccount() {
-        return statement.isSameLimit(accountLimit);
+    /** Returns whether the control instance has the same limit. */
+    boolean isKnownToAllocator() {
+        return statement.isSameLimit(allocatorLimit);
     }
 
-    void dropOwn() {
-        ownFrom = Long.MAX_VALUE;
+    void cancelLocalPermit() {
+        localPermitFrom = Long.MAX_VALUE;
     }
 
-    /** Says how long until the next permit may be there. */
+    /** Returns the time until the next permit may be available. */
     long retryMillis(long now) {
-        return Math.max(1, Math.min(ownFrom, Math.max(now, askAt)) - now);
+        return Math.max(1, Math.min(localPermitFrom, Math.max(now, nextRequestAt)) - now);
     }
 
-    private boolean hasOwn(long now) {
-        return !ownUsed && ownFrom <= now && now < ownFrom + LEASE_MILLIS;
+    private boolean hasLocalPermit(long now) {
+        return !localPermitUsed && localPermitFrom <= now && now < localPermitFrom + LEASE_MILLIS;
     }
 
     private void expire(long now) {
-        while (!leasedUntil.isEmpty() && leasedUntil.peek() <= now) {
-            leasedUntil.poll();
+        while (!permitExpiry.isEmpty() && permitExpiry.peek() <= now) {
+            permitExpiry.poll();
             unused++;
         }
-        while (!wantedUntil.isEmpty() && wantedUntil.peek() <= now) {
-            wantedUntil.poll();
+        while (!demandExpiry.isEmpty() && demandExpiry.peek() <= now) {
+            demandExpiry.poll();
         }
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/permit/PermitAsk.java
+++ b/serving/src/main/java/org/hallwall/serving/permit/PermitAsk.java
@@ -19,11 +19,11 @@
 package org.hallwall.serving.permit;
 
 /**
- * What an entry asks of the account of one target.
+ * An entry's request for permits of one target.
  *
- * @param limit what it knows of the target's limit
- * @param heard whether it has heard so from the target since the account was told last
- * @param wanted how many permits it has requests for
- * @param unused how many permits it has let lapse since it asked last
+ * @param limit the target's limit as the entry knows it
+ * @param heard whether the target has declared the limit to the entry since the last report
+ * @param wanted the number of permits needed
+ * @param unused the number of permits that expired unused since the last request
  */
 public record PermitAsk(LimitReport limit, boolean heard, int wanted, int unused) {}
--- a/serving/src/main/java/org/hallwall/serving/permit/PermitGrant.java
+++ b/serving/src/main/java/org/hallwall/serving/permit/PermitGrant.java
@@ -19,10 +19,10 @@
 package org.hallwall.serving.permit;
 
 /**
- * What an entry gets from the account of one target.
+ * The permits granted to an entry for one target.
  *
- * @param limit what the account knows of the target's limit
- * @param permits how many permits the entry may use within their lease
- * @param retryMillis when the next one may be due, in milliseconds; zero if none is wanted any more
+ * @param limit the target's limit as the control instance knows it
+ * @param permits the number of permits, valid for one lease
+ * @param retryMillis the time until the next permit may be available, in milliseconds; zero if no more are needed
  */
 public record PermitGrant(LimitReport limit, int permits, long retryMillis) {}
--- a/serving/src/main/java/org/hallwall/serving/permit/PermitLedger.java
+++ b/serving/src/main/java/org/hallwall/serving/permit/PermitLedger.java
@@ -29,33 +29,33 @@
 import org.hallwall.core.time.Ticker;
 
 /**
- * The accounts of all targets with a rate limit, kept by the control instance that controls the groups. Its own orders and probes take
- * their permits here at once. An account that is new begins empty: permits that its predecessor has lent may still be used. Safe for
- * all threads.
+ * Allocates permits for all rate-limited targets; used by the control instance that controls the groups. That instance's orders and probes
+ * acquire their permits directly. A new token bucket starts empty, since permits granted by a previous control instance may still be in
+ * use. Thread-safe.
  */
 public final class PermitLedger implements RateLimiter {
 
-    /** Targets that are remembered at most; the one that was asked about least lately goes first. */
-    private static final int MOST_REMEMBERED = 4_096;
-    /** How long entries are told that a limit has ended, in milliseconds; later they hear it when they ask. */
-    private static final long TELL_END_MILLIS = 10_000;
+    /** Maximum number of targets; the least recently used one is evicted. */
+    private static final int MAX_TARGETS = 4_096;
+    /** How long the end of a limit is announced to all entries; later they learn it from grants. */
+    private static final long ANNOUNCE_END_MILLIS = 10_000;
 
     private final Ticker ticker;
     private long version;
-    private final Map<InstanceId, Limited> targets = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<InstanceId, LimitState> targets = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<InstanceId, Limited> eldest) {
-            return size() > MOST_REMEMBERED;
+        protected boolean removeEldestEntry(Map.Entry<InstanceId, LimitState> eldest) {
+            return size() > MAX_TARGETS;
         }
     };
 
     /**
-     * Creates a ledger without accounts.
+     * Creates a ledger without limits.
      *
      * @param ticker the clock
-     * @param firstVersion what versions of limits begin after; another one for each ledger that there is or was
+     * @param firstVersion the version before the first one; must differ for every ledger
      */
     public PermitLedger(Ticker ticker, long firstVersion) {
         this.ticker = ticker;
@@ -63,11 +63,11 @@
     }
 
     /**
-     * Answers an entry.
+     * Grants permits to an entry.
      *
-     * @param entry who asks
-     * @param asks what it knows and wants, by target
-     * @return what it gets, in the same order
+     * @param entry the requesting entry
+     * @param asks its requests by target
+     * @return the grants, in the same order
      */
     public synchronized List<PermitGrant> take(InstanceId entry, List<PermitAsk> asks) {
         List<PermitGrant> out = new ArrayList<>();
@@ -81,60 +81,60 @@
         long now = ticker.millis();
         InstanceId target = ask.limit().target();
         if (ask.heard() || !targets.containsKey(target)) {
-            learn(ask.limit());
+            applyReport(ask.limit());
         }
-        Limited l = targets.get(target);
-        if (l == null) {
+        LimitState state = targets.get(target);
+        if (state == null) {
             return new PermitGrant(ask.limit(), ask.wanted(), 0);
         }
-        if (l.limit == null) {
-            return new PermitGrant(l.report(target, now), ask.wanted(), 0);
+        if (state.limit == null) {
+            return new PermitGrant(state.report(target, now), ask.wanted(), 0);
         }
-        double rate = PermitAccount.rate(l.limit);
-        l.account.fill(rate, now);
-        l.account.giveBack(rate, ask.unused());
-        int permits = l.account.take(entry, ask.wanted());
-        long retry = permits < ask.wanted() ? l.account.await(entry, rate, now) : 0;
-        return new PermitGrant(l.report(target, now), permits, retry);
+        double rate = PermitBucket.effectiveRate(state.limit);
+        state.bucket.refill(rate, now);
+        state.bucket.returnUnused(rate, ask.unused());
+        int permits = state.bucket.acquire(entry, ask.wanted());
+        long retry = permits < ask.wanted() ? state.bucket.enqueue(entry, rate, now) : 0;
+        return new PermitGrant(state.report(target, now), permits, retry);
     }
 
     @Override
-    public synchronized void take(InstanceId target, LimitStatement statement) {
+    public synchronized void applyStatement(InstanceId target, LimitStatement statement) {
         if (statement.limit() != null) {
-            learn(new LimitReport(target, statement.limit().perSecond(), 0, 0));
+            applyReport(new LimitReport(target, statement.limit().perSecond(), 0, 0));
         }
     }
 
-    private void learn(LimitReport report) {
-        Limited l = targets.get(report.target());
+    private void applyReport(LimitReport report) {
+        LimitState state = targets.get(report.target());
         long now = ticker.millis();
-        if (l == null) {
+        if (state == null) {
             if (report.limit() != null) {
-                targets.put(report.target(), new Limited(report.limit(), ++version, now));
+                targets.put(report.target(), new LimitState(report.limit(), ++version, now));
             }
             return;
         }
-        if (Objects.equals(report.limit(), l.limit)) {
-            l.heardAt = Math.max(l.heardAt, now - report.ageMillis());
+        if (Objects.equals(report.limit(), state.limit)) {
+            state.receivedAt = Math.max(state.receivedAt, now - report.ageMillis());
             return;
         }
-        boolean stricter = report.limit() != null && report.limit().isStricterThan(l.limit);
-        if (stricter || report.version() == l.version) {
-            l.set(report.limit(), ++version, now);
+        boolean stricter = report.limit() != null && report.limit().isStricterThan(state.limit);
+        if (stricter || report.version() == state.version) {
+            state.changeLimit(report.limit(), ++version, now);
         }
     }
 
     /**
-     * Lists the limits for entries that have not heard them: those in force, and those that have just ended.
+     * Returns the limits to be announced to all entries: those in force and those that ended recently.
      *
-     * @return what targets have said, by target
+     * @return the limits by target
      */
     public synchronized List<LimitReport> limits() {
         long now = ticker.millis();
         List<LimitReport> out = new ArrayList<>();
-        targets.forEach((target, l) -> {
-            if (l.limit != null || now - l.heardAt < TELL_END_MILLIS) {
-                out.add(l.report(target, now));
+        targets.forEach((target, state) -> {
+            if (state.limit != null || now - state.receivedAt < ANNOUNCE_END_MILLIS) {
+                out.add(state.report(target, now));
             }
         });
         return out;
@@ -142,8 +142,8 @@
 
     @Override
     public synchronized boolean isLimited(InstanceId target) {
-        Limited l = targets.get(target);
-        return l != null && l.limit != null;
+        LimitState state = targets.get(target);
+        return state != null && state.limit != null;
     }
 
     @Override
@@ -152,13 +152,13 @@
     }
 
     @Override
-    public synchronized boolean tryTake(InstanceId target) {
-        Limited l = targets.get(target);
-        if (l == null || l.limit == null) {
+    public synchronized boolean tryAcquire(InstanceId target) {
+        LimitState state = targets.get(target);
+        if (state == null || state.limit == null) {
             return true;
         }
-        l.account.fill(PermitAccount.rate(l.limit), ticker.millis());
-        return l.account.tryTakeAhead();
+        state.bucket.refill(PermitBucket.effectiveRate(state.limit), ticker.millis());
+        return state.bucket.tryAcquireInAdvance();
     }
 
     @Override
@@ -167,49 +167,49 @@
     }
 
     /**
-     * Tells the limits in force, for people.
+     * Describes the limits in force, for diagnostics.
      *
      * @return limit and age by target
      */
     public synchronized Map<String, String> describe() {
         long now = ticker.millis();
         Map<String, String> out = new TreeMap<>();
-        targets.forEach((target, l) -> {
-            if (l.limit != null) {
-                out.put(target.value(), l.limit + ", said " + (now - l.heardAt) + " ms ago");
+        targets.forEach((target, state) -> {
+            if (state.limit != null) {
+                out.put(target.value(), state.limit + ", declared " + (now - state.receivedAt) + " ms ago");
             }
         });
         return out;
     }
 
-    /** What is known of one target. */
-    private static final class Limited {
+    /** The limit and the token bucket of one target. */
+    private static final class LimitState {
 
-        private final PermitAccount account;
+        private final PermitBucket bucket;
         private RateLimit limit;
         private long version;
-        private long heardAt;
+        private long receivedAt;
 
-        Limited(RateLimit limit, long version, long now) {
-            this.account = new PermitAccount(now);
+        LimitState(RateLimit limit, long version, long now) {
+            this.bucket = new PermitBucket(now);
             this.limit = limit;
             this.version = version;
-            this.heardAt = now;
+            this.receivedAt = now;
         }
 
-        void set(RateLimit next, long nextVersion, long now) {
+        void changeLimit(RateLimit newLimit, long newVersion, long now) {
             if (limit != null) {
-                account.fill(PermitAccount.rate(limit), now);
+                bucket.refill(PermitBucket.effectiveRate(limit), now);
             } else {
-                account.empty(now);
+                bucket.reset(now);
             }
-            limit = next;
-            version = nextVersion;
-            heardAt = now;
+            limit = newLimit;
+            version = newVersion;
+            receivedAt = now;
         }
 
         LimitReport report(InstanceId target, long now) {
-            return new LimitReport(target, limit == null ? null : limit.perSecond(), version, now - heardAt);
+            return new LimitReport(target, limit == null ? null : limit.perSecond(), version, now - receivedAt);
         }
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/permit/RateLimit.java
+++ b/serving/src/main/java/org/hallwall/serving/permit/RateLimit.java
@@ -21,17 +21,17 @@
 import java.util.Locale;
 
 /**
- * The requests that a target takes from the whole system.
+ * The rate of requests that a target accepts from all entries together.
  *
- * @param perSecond how many in a second; finite and not negative
+ * @param perSecond requests per second; finite and not negative
  */
 public record RateLimit(double perSecond) {
 
     /**
-     * Says whether this limit allows less than another one.
+     * Returns whether this limit is stricter than another one.
      *
      * @param other the other limit; null for none
-     * @return true if it does
+     * @return true if this limit is lower
      */
     public boolean isStricterThan(RateLimit other) {
         return other == null || perSecond < other.perSecond;
--- a/serving/src/main/java/org/hallwall/serving/permit/RateLimiter.java
+++ b/serving/src/main/java/org/hallwall/serving/permit/RateLimiter.java
@@ -20,13 +20,13 @@
 
 import org.hallwall.core.id.InstanceId;
 
-/** Says whether the rate limits of targets allow one more request now. */
+/** Enforces the rate limits of targets. */
 public interface RateLimiter {
 
-    /** No target has a limit. */
+    /** A limiter that ignores all limits. */
     RateLimiter UNLIMITED = new RateLimiter() {
         @Override
-        public void take(InstanceId target, LimitStatement statement) {
+        public void applyStatement(InstanceId target, LimitStatement statement) {
             // nothing is limited
         }
 
@@ -41,7 +41,7 @@
         }
 
         @Override
-        public boolean tryTake(InstanceId target) {
+        public boolean tryAcquire(InstanceId target) {
             return true;
         }
 
@@ -52,42 +52,42 @@
     };
 
     /**
-     * Takes what an answer says.
+     * Applies a target's declaration of its limit.
      *
-     * @param target the start of the target
-     * @param statement what it says of the limit
+     * @param target the target's start
+     * @param statement the declaration
      */
-    void take(InstanceId target, LimitStatement statement);
+    void applyStatement(InstanceId target, LimitStatement statement);
 
     /**
-     * Says whether a target has a limit.
+     * Returns whether a target has a rate limit.
      *
-     * @param target the start of the target
-     * @return true if it has
+     * @param target the target's start
+     * @return true if it has a limit
      */
     boolean isLimited(InstanceId target);
 
     /**
-     * Says whether a permit is there.
+     * Returns whether a permit is available.
      *
-     * @param target the start of the target
-     * @return true if one is there or none is needed
+     * @param target the target's start
+     * @return true if a permit is available or none is needed
      */
     boolean hasPermit(InstanceId target);
 
     /**
-     * Uses up a permit.
+     * Uses a permit.
      *
-     * @param target the start of the target
-     * @return true if one was there or none is needed
+     * @param target the target's start
+     * @return true if a permit was available or none is needed
      */
-    boolean tryTake(InstanceId target);
+    boolean tryAcquire(InstanceId target);
 
     /**
-     * Says when a permit may be there.
+     * Returns the time until a permit may be available.
      *
-     * @param target the start of the target
-     * @return milliseconds; zero if one is there or none is needed
+     * @param target the target's start
+     * @return the time in milliseconds; zero if a permit is available or none is needed
      */
     long retryMillis(InstanceId target);
 }
--- a/serving/src/main/java/org/hallwall/serving/permit/package-info.java
+++ b/serving/src/main/java/org/hallwall/serving/permit/package-info.java
@@ -17,19 +17,18 @@
  * under the License.
  */
 /**
- * Divides a rate limit of the whole system over its entries.
+ * Distributed rate limiting of targets.
  *
- * <p>A target names the requests a second that it takes from all entries together. The control instance that controls the groups
- * keeps one account for each limited target ({@code PermitLedger}): a token bucket that fills at the named rate. Whatever is sent to
- * the target uses up one permit of it. Entries ask for permits in advance, for the requests that they have, and hold them for
- * a short lease ({@code EntryPermits}); what they do not use in that time they give back. So the sum over all entries is bounded by
- * one bucket and one lease, however many entries there are and however uneven their load is.
+ * <p>A target declares the rate of requests that it accepts from all entries together. The control instance that controls the groups keeps
+ * a token bucket for each limited target ({@code PermitLedger}); every message to the target uses a permit. Entries request permits
+ * according to their demand, hold them for a short lease and return those that expire unused ({@code EntryPermits}). The overall rate is
+ * thus bounded by one bucket and one lease, independent of the number of entries and the distribution of load.
  *
- * <p>An entry that loses touch with the account sends a fixed part of its even share, one request at a time. A target that takes next
- * to nothing gets a request now and then all the same, since only its answers can tell that the limit has ended.
+ * <p>An entry without a connection to the control instance sends a fixed fraction of its even share. A target with a limit near zero still
+ * receives occasional requests, since only its responses can end the limit.
  *
- * <p>A stricter statement of a target counts at once. A laxer one counts only if it was surely made later: at its entry, if its request was
- * sent after the stricter one was heard ({@code LimitStatement}); at the account, if the entry knew the account's version of the limit
- * when it sent the request. Entries learn limits from each other through the account.
+ * <p>A stricter limit applies at once. A less strict one applies only if it was certainly declared later: at an entry, if the request was
+ * sent after the stricter limit was received ({@code LimitStatement}); at the control instance, if the entry knew the current version of
+ * the limit when it sent the request. Entries learn limits from each other through the control instance.
  */
 package org.hallwall.serving.permit;
--- a/serving/src/test/java/org/hallwall/serving/permit/EntryPermitsTest.java
+++ b/serving/src/test/java/org/hallwall/serving/permit/EntryPermitsTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** One entry and the account that it asks, with and without an answer. */
+/** One entry's permits, with and without a reachable control instance. */
 class EntryPermitsTest {
 
     private static final InstanceId TARGET = new InstanceId("i-1");
@@ -37,8 +37,9 @@
     private final PermitLedger ledger = new PermitLedger(() -> now, 0);
     private final EntryPermits permits = new EntryPermits(() -> now, () -> 0.5);
 
-    private void hear(double perSecond) {
-        permits.take(TARGET, new LimitStatement(perSecond < 0 ? null : new RateLimit(perSecond), now - 10, now));
+    private void receiveLimit(double perSecond) {
+        permits.applyStatement(
+                TARGET, new LimitStatement(perSecond < 0 ? null : new RateLimit(perSecond), now - 10, now));
     }
 
     private void exchange() {
@@ -48,111 +49,112 @@
     }
 
     @Test
-    void nothingIsLimitedAtFirst() {
-        Assertions.assertTrue(permits.tryTake(TARGET));
+    void targetsAreUnlimitedInitially() {
+        Assertions.assertTrue(permits.tryAcquire(TARGET));
         Assertions.assertEquals(-1, permits.dueMillis());
     }
 
     @Test
-    void aLimitHoldsFromTheFirstAnswerOn() {
-        hear(2);
-        Assertions.assertFalse(permits.tryTake(TARGET));
+    void limitAppliesFromTheFirstResponse() {
+        receiveLimit(2);
+        Assertions.assertFalse(permits.tryAcquire(TARGET));
         Assertions.assertTrue(permits.retryMillis(TARGET) > 0);
     }
 
     @ParameterizedTest
     @CsvSource({"0, 6", "0.1, 6", "0.3, 18", "2, 120", "50, 3000"})
-    void aMinuteOfPermits(double perSecond, int most) {
-        hear(perSecond);
-        int taken = 0;
+    void permitsMatchTheLimit(double perSecond, int most) {
+        receiveLimit(perSecond);
+        int count = 0;
         for (long end = now + MINUTE_MILLIS; now < end; now += 10) {
             permits.want(TARGET);
             exchange();
-            taken += permits.tryTake(TARGET) ? 1 : 0;
+            count += permits.tryAcquire(TARGET) ? 1 : 0;
         }
-        int all = taken;
+        int acquired = count;
         int least = (int) (most * 0.9);
-        Assertions.assertTrue(all <= most && all >= least, () -> all + " permits, the limit allows " + most);
+        Assertions.assertTrue(
+                acquired <= most && acquired >= least, () -> acquired + " permits, the limit allows " + most);
     }
 
     @Test
-    void permitsThatLapseAreGivenBack() {
-        hear(2);
+    void expiredPermitsAreReturned() {
+        receiveLimit(2);
         exchange();
         now += 1_000;
         permits.want(TARGET);
         exchange();
         now += LimitedTarget.LEASE_MILLIS;
-        Assertions.assertFalse(permits.tryTake(TARGET));
+        Assertions.assertFalse(permits.tryAcquire(TARGET));
         List<PermitAsk> asks = permits.asks();
         Assertions.assertEquals(1, asks.size());
         Assertions.assertTrue(asks.get(0).unused() > 0);
     }
 
-    /** An answer without a limit ends it; the account is told, and tells others. */
+    /** A response without a limit ends it, and other entries learn so through the control instance. */
     @Test
-    void aLimitEnds() {
-        hear(2);
+    void responseWithoutLimitEndsIt() {
+        receiveLimit(2);
         exchange();
         now += 100;
-        hear(-1);
-        Assertions.assertTrue(permits.tryTake(TARGET));
+        receiveLimit(-1);
+        Assertions.assertTrue(permits.tryAcquire(TARGET));
         exchange();
         Assertions.assertFalse(ledger.isLimited(TARGET));
         EntryPermits other = new EntryPermits(() -> now, () -> 0.5);
         other.learn(ledger.limits());
-        Assertions.assertTrue(other.tryTake(TARGET));
+        Assertions.assertTrue(other.tryAcquire(TARGET));
     }
 
-    /** A suspended entry takes what it has heard for new, so the account goes by the version that the entry knew. */
+    /** A suspended entry may report an outdated end of a limit; the version that it knew prevents that from ending a newer limit. */
     @Test
-    void whatASuspendedEntryHasHeardEndsNoNewerLimit() {
-        hear(2);
+    void lateReportOfASuspendedEntryDoesNotEndANewerLimit() {
+        receiveLimit(2);
         exchange();
         now += 100;
-        hear(-1);
+        receiveLimit(-1);
         List<PermitAsk> late = permits.asks();
         EntryPermits other = new EntryPermits(() -> now, () -> 0.5);
-        other.take(TARGET, new LimitStatement(new RateLimit(1), now - 10, now));
+        other.applyStatement(TARGET, new LimitStatement(new RateLimit(1), now - 10, now));
         other.take(ledger.take(new InstanceId("e-2"), other.asks()), now);
         now += 5_000;
         permits.take(ledger.take(ENTRY, late), now);
         Assertions.assertTrue(ledger.isLimited(TARGET));
-        Assertions.assertFalse(permits.tryTake(TARGET));
+        Assertions.assertFalse(permits.tryAcquire(TARGET));
     }
 
     @Test
-    void anEntryThatNeverHeardALimitIsTold() {
-        hear(2);
+    void otherEntriesLearnTheLimit() {
+        receiveLimit(2);
         exchange();
         EntryPermits other = new EntryPermits(() -> now, () -> 0.5);
         other.learn(ledger.limits());
-        Assertions.assertFalse(other.tryTake(TARGET));
+        Assertions.assertFalse(other.tryAcquire(TARGET));
     }
 
-    /** With no account to ask it sends a part of its even share; an entry that knows of no others sends nothing. */
+    /** Without a control instance an entry uses a fraction of its even share, and nothing if the number of entries is unknown. */
     @ParameterizedTest
     @CsvSource({"9, 2, 5", "9, 50, 101", "350, 2, 1", "0, 50, 0"})
-    void aMinuteWithoutAnAccount(int entries, double perSecond, int most) {
+    void localPermitsAreAFractionOfTheEvenShare(int entries, double perSecond, int most) {
         permits.entries(entries);
-        hear(perSecond);
-        int taken = 0;
+        receiveLimit(perSecond);
+        int count = 0;
         for (long end = now + MINUTE_MILLIS; now < end; now += 10) {
             permits.want(TARGET);
             permits.asks();
-            taken += permits.tryTake(TARGET) ? 1 : 0;
+            count += permits.tryAcquire(TARGET) ? 1 : 0;
         }
-        int all = taken;
-        Assertions.assertTrue(all <= most, () -> all + " permits of its own, " + most + " allowed");
-        Assertions.assertTrue(most < 5 || all >= most * 0.8, () -> "only " + all + " permits of its own");
+        int acquired = count;
+        Assertions.assertTrue(acquired <= most, () -> acquired + " local permits, " + most + " allowed");
+        Assertions.assertTrue(most < 5 || acquired >= most * 0.8, () -> "only " + acquired + " local permits");
     }
 
-    /** Orders of the instance that keeps the accounts go ahead of requests, but few of them. */
+    /** Orders of the control instance may use a bounded number of permits in advance. */
     @Test
-    void ordersTakePermitsAheadOfTime() {
-        ledger.take(TARGET, new LimitStatement(new RateLimit(0.1), now - 10, now));
-        Assertions.assertTrue(ledger.tryTake(TARGET));
-        Assertions.assertTrue(ledger.tryTake(TARGET));
-        Assertions.assertFalse(ledger.tryTake(TARGET));
+    void ordersAcquirePermitsInAdvance() {
+        ledger.applyStatement(TARGET, new LimitStatement(new RateLimit(0.1), now - 10, now));
+        Assertions.assertTrue(ledger.tryAcquire(TARGET));
+        Assertions.assertTrue(ledger.tryAcquire(TARGET));
+        Assertions.assertFalse(ledger.tryAcquire(TARGET));
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/permit/LimitStatementTest.java
+++ b/serving/src/test/java/org/hallwall/serving/permit/LimitStatementTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Answers that overtake each other: which of two statements is in force. Limits of zero or less stand for none. */
+/** Precedence of statements in reordered responses. Limits of zero or less stand for none. */
 class LimitStatementTest {
 
     private static LimitStatement statement(double perSecond, long askedAt, long heardAt) {
@@ -31,18 +31,18 @@
 
     @ParameterizedTest
     @CsvSource({
-        // a stricter one that came later, whenever it was asked for
+        // a stricter limit that was received later, whenever its request was sent
         "5, 100, 200, 2, 50, 201, true",
         "0, 100, 200, 2, 50, 201, true",
-        // a laxer one counts only if its request was sent after the stricter one was heard
+        // a less strict limit only if its request was sent after the stricter one was received
         "2, 100, 200, 5, 150, 300, false",
         "2, 100, 200, 5, 200, 300, true",
         "2, 100, 200, 0, 199, 300, false",
         "2, 100, 200, 0, 200, 300, true",
-        // the same one is renewed by what came later
+        // an equal limit that was received later
         "2, 100, 200, 2, 90, 250, true",
     })
-    void laterOrStricter(
+    void laterOrStricterStatementReplaces(
             double known, long knownAsked, long knownHeard, double next, long asked, long heard, boolean replaces) {
         Assertions.assertEquals(
                 replaces, statement(next, asked, heard).replaces(statement(known, knownAsked, knownHeard)));
@@ -50,7 +50,7 @@
 
     @ParameterizedTest
     @CsvSource({"2, true", "0, false"})
-    void noneAtFirst(double perSecond, boolean replaces) {
+    void firstStatementNeedsALimit(double perSecond, boolean replaces) {
         Assertions.assertEquals(replaces, statement(perSecond, 1, 2).replaces(null));
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/permit/LimitWindows.java
+++ b/serving/src/test/java/org/hallwall/serving/permit/LimitWindows.java
@@ -22,38 +22,38 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** What one simulated target has named, what reached it, and the most that a window held beside what was allowed. */
+/** The declared limits of and the arrivals at a simulated target, compared over sliding windows. */
 final class LimitWindows {
 
     static final long WINDOW_MILLIS = 4_000;
-    /** How long the entries may take to divide a limit that has changed. */
-    static final long TO_DIVIDE_MILLIS = 3_000;
+    /** How long the entries may take to adapt to a changed limit. */
+    static final long CONVERGENCE_MILLIS = 3_000;
 
-    static final long ON_ITS_WAY_MILLIS = 500;
-    private static final double EXCESS = 1.5;
-    private static final int BESIDES = 5;
-    private static final double MILLIS_A_SECOND = 1_000;
+    static final long IN_FLIGHT_MILLIS = 500;
+    private static final double ALLOWED_RATIO = 1.5;
+    private static final int ALLOWANCE = 5;
+    private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** The limits by the time from which they were named; negative for none. */
-    private final TreeMap<Long, Double> named = new TreeMap<>();
+    /** The declared limits by start time; negative for none. */
+    private final TreeMap<Long, Double> limits = new TreeMap<>();
 
     private final List<Long> counted = new ArrayList<>();
     private final List<Long> all = new ArrayList<>();
 
     LimitWindows() {
-        named.put(Long.MIN_VALUE, -1.0);
+        limits.put(Long.MIN_VALUE, -1.0);
     }
 
-    void name(double perSecond, long now) {
-        named.put(now, perSecond);
+    void setLimit(double perSecond, long now) {
+        limits.put(now, perSecond);
     }
 
-    double named(long now) {
-        return named.floorEntry(now).getValue();
+    double limitAt(long now) {
+        return limits.floorEntry(now).getValue();
     }
 
-    /** Notes an arrival; one of an entry that a fault excuses, or that does not know the limit, does not count. */
-    void arrived(long now, boolean counts) {
+    /** Records an arrival; it does not count if its entry is recovering from a fault or does not know the limit yet. */
+    void recordArrival(long now, boolean counts) {
         all.add(now);
         if (counts) {
             counted.add(now);
@@ -64,24 +64,24 @@
         return (int) all.stream().filter(t -> t >= from && t < to).count();
     }
 
-    /** Gives the highest ratio of what windows held to what was allowed; zero if none counts. */
-    double worst(boolean excused) {
-        List<Long> arrivals = excused ? counted : all;
-        double worst = 0;
+    /** Returns the highest ratio of arrivals to allowed requests in any window; zero if there are none. */
+    double maxRatio(boolean countedOnly) {
+        List<Long> arrivals = countedOnly ? counted : all;
+        double maxRatio = 0;
         int end = 0;
         for (int first = 0; first < arrivals.size(); first++) {
             while (end < arrivals.size() && arrivals.get(end) - arrivals.get(first) < WINDOW_MILLIS) {
                 end++;
             }
             double allowed = allowed(arrivals.get(first), arrivals.get(end - 1));
-            worst = Math.max(worst, (end - first) / allowed);
+            maxRatio = Math.max(maxRatio, (end - first) / allowed);
         }
-        return worst;
+        return maxRatio;
     }
 
-    /** Gives the most arrivals in a window that begins and ends between two times. */
-    int most(long from, long to) {
-        int most = 0;
+    /** Returns the most arrivals in any window between two times. */
+    int maxArrivals(long from, long to) {
+        int maxArrivals = 0;
         int first = 0;
         for (int last = 0; last < all.size(); last++) {
             while (all.get(last) - all.get(first) >= WINDOW_MILLIS || all.get(first) < from) {
@@ -91,21 +91,23 @@
                 first++;
             }
             if (all.get(first) >= from && all.get(last) < to) {
-                most = Math.max(most, last - first + 1);
+                maxArrivals = Math.max(maxArrivals, last - first + 1);
             }
         }
-        return most;
+        return maxArrivals;
     }
 
-    /** What may be sent goes by the highest limit that was in force in the window or a while before, as entries learn it then. */
+    /** Returns the allowed requests by the highest limit in the window or shortly before, since entries learn limits with a delay. */
     private double allowed(long from, long to) {
-        long since = from - TO_DIVIDE_MILLIS;
-        double highest = named(since);
-        boolean ever = highest < 0;
-        for (double limit : named.subMap(since, false, to, true).values()) {
-            ever |= limit < 0;
+        long start = from - CONVERGENCE_MILLIS;
+        double highest = limitAt(start);
+        boolean unlimited = highest < 0;
+        for (double limit : limits.subMap(start, false, to, true).values()) {
+            unlimited |= limit < 0;
             highest = Math.max(highest, limit);
         }
-        return ever ? Double.POSITIVE_INFINITY : EXCESS * highest * WINDOW_MILLIS / MILLIS_A_SECOND + BESIDES;
+        return unlimited
+                ? Double.POSITIVE_INFINITY
+                : ALLOWED_RATIO * highest * WINDOW_MILLIS / MILLIS_PER_SECOND + ALLOWANCE;
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/permit/PermitSimulationRuns.java
+++ b/serving/src/test/java/org/hallwall/serving/permit/PermitSimulationRuns.java
@@ -35,61 +35,61 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Many simulated schedules by hand, not part of the tests: {@code mvn -pl serving -am test -Dtest=PermitSimulationRuns
- * -Dsurefire.failIfNoSpecifiedTests=false -Dpermits.seeds=1000}. The ways to divide a limit side by side, and seeded faults.
+ * Compares strategies of dividing a limit, and runs many seeded fault schedules; started manually: {@code mvn -pl serving -am test
+ * -Dtest=PermitSimulationRuns -Dsurefire.failIfNoSpecifiedTests=false -Dpermits.seeds=1000}.
  */
 class PermitSimulationRuns {
 
-    /** Held, since a logger that nobody holds forgets its level. */
-    private static final Logger LINES = Logger.getLogger("org.hallwall");
+    /** A strong reference, since the level of a collected logger is lost. */
+    private static final Logger LOGGER = Logger.getLogger("org.hallwall");
 
     private static final long END_MILLIS = 40_000;
     private static final long SHIFT_MILLIS = 20_000;
     private static final double PER_ENTRY = 12;
     private static final int TARGETS = 12;
-    /** The size of a call and of one target in it, both ways together, in bytes. */
+    /** The bytes of a call and of one target in it, in both directions. */
     private static final int CALL_BYTES = 60;
 
     private static final int ASK_BYTES = 150;
 
     @BeforeEach
-    void quiet() {
-        LINES.setLevel(Level.SEVERE);
+    void disableLogging() {
+        LOGGER.setLevel(Level.SEVERE);
     }
 
     @Test
     void faults() {
-        List<Double> excused = new ArrayList<>();
-        List<Double> all = new ArrayList<>();
+        List<Double> counted = new ArrayList<>();
+        List<Double> includingFaults = new ArrayList<>();
         for (long seed = 1; seed <= Integer.getInteger("permits.seeds", 100); seed++) {
-            excused.add(PermitSimulationTest.worst(seed, true));
-            all.add(PermitSimulationTest.worst(seed, false));
+            counted.add(PermitSimulationTest.maxRatio(seed, true));
+            includingFaults.add(PermitSimulationTest.maxRatio(seed, false));
         }
         System.out.printf(
                 Locale.ROOT,
-                "%d seeds: the fullest window %.3f of what is allowed, %.3f with what faults excuse; %d and %d seeds above 1%n",
-                excused.size(),
-                Collections.max(excused),
-                Collections.max(all),
-                excused.stream().filter(d -> d > 1).count(),
-                all.stream().filter(d -> d > 1).count());
+                "%d seeds: highest ratio to the allowed requests %.3f, %.3f including arrivals during faults; %d and %d seeds above 1%n",
+                counted.size(),
+                Collections.max(counted),
+                Collections.max(includingFaults),
+                counted.stream().filter(d -> d > 1).count(),
+                includingFaults.stream().filter(d -> d > 1).count());
     }
 
-    /** All targets name a limit; at half-time all load moves from the first half of the entries to the second. */
+    /** All targets declare a limit; half-way the load moves from the first half of the entries to the second. */
     @ParameterizedTest
     @CsvSource({"9, 0.3", "9, 2", "9, 5", "82, 0.3", "82, 2", "82, 50", "350, 0.3", "350, 2", "350, 50"})
-    void ways(int entries, double limit) {
-        play("LEASED_PERMITS", entries, limit, null);
-        for (ShareLimiter.Way way : ShareLimiter.Way.values()) {
+    void strategies(int entries, double limit) {
+        runStrategy("LEASED_PERMITS", entries, limit, null);
+        for (ShareLimiter.Strategy strategy : ShareLimiter.Strategy.values()) {
             Map<InstanceId, double[]> demand = new HashMap<>();
-            play(way.name(), entries, limit, (s, e) -> {
+            runStrategy(strategy.name(), entries, limit, (s, e) -> {
                 int index = s.entries().size();
-                return new ShareLimiter(s, way, entries, index, demand);
+                return new ShareLimiter(s, strategy, entries, index, demand);
             });
         }
     }
 
-    private void play(
+    private void runStrategy(
             String name,
             int entries,
             double limit,
@@ -104,24 +104,24 @@
             }
         });
         for (int t = 0; t < TARGETS; t++) {
-            s.name(t, limit);
+            s.setLimit(t, limit);
         }
         s.run(END_MILLIS);
-        int most = 0;
+        int maximum = 0;
         for (int t = 0; t < TARGETS; t++) {
-            most = Math.max(most, s.target(t).most(LimitWindows.TO_DIVIDE_MILLIS, END_MILLIS));
+            maximum = Math.max(maximum, s.target(t).maxArrivals(LimitWindows.CONVERGENCE_MILLIS, END_MILLIS));
         }
         long messages = s.entries().stream().mapToLong(SimulatedEntry::messages).sum();
         long asks = s.entries().stream().mapToLong(SimulatedEntry::asks).sum();
         System.out.printf(
                 Locale.ROOT,
-                "%3d entries, limit %4.1f, %-14s: most in 4 s %4d (allowed %5.1f), used %.2f, in the seconds after the shift %s, %.0f bytes/s at the accounts%n",
+                "%3d entries, limit %4.1f, %-14s: maximum in 4 s %4d (allowed %5.1f), utilisation %.2f, per second after the shift %s, control traffic %.0f bytes/s%n",
                 entries,
                 limit,
                 name,
-                most,
+                maximum,
                 1.5 * 4 * limit + 5,
-                used(s, limit, 5_000, END_MILLIS),
+                utilisation(s, limit, 5_000, END_MILLIS),
                 afterShift(s, limit),
                 (messages * CALL_BYTES + asks * ASK_BYTES) * 1_000.0 / END_MILLIS);
     }
@@ -129,12 +129,12 @@
     private static String afterShift(SimulatedSystem s, double limit) {
         StringBuilder out = new StringBuilder();
         for (long t = SHIFT_MILLIS; t < SHIFT_MILLIS + 4_000; t += 1_000) {
-            out.append(String.format(Locale.ROOT, "%.2f ", used(s, limit, t, t + 1_000)));
+            out.append(String.format(Locale.ROOT, "%.2f ", utilisation(s, limit, t, t + 1_000)));
         }
         return out.toString().trim();
     }
 
-    private static double used(SimulatedSystem s, double limit, long from, long to) {
+    private static double utilisation(SimulatedSystem s, double limit, long from, long to) {
         double out = 0;
         for (int t = 0; t < TARGETS; t++) {
             out += s.target(t).arrivals(from, to) / (limit * (to - from) / 1_000) / TARGETS;
--- a/serving/src/test/java/org/hallwall/serving/permit/PermitSimulationTest.java
+++ b/serving/src/test/java/org/hallwall/serving/permit/PermitSimulationTest.java
@@ -28,51 +28,47 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The load of a fleet in which targets name rate limits: what the entries send together stays within the limit in any window, through
- * cuts, restarts, suspensions, changes of the leader and of the limits, and answers that overtake each other; what the targets offer is
- * used, however uneven the load of the entries is; and whoever finds room elsewhere is served.
+ * Simulates a fleet with rate-limited targets: entries together stay within the limits despite partitions, restarts, suspensions, leader
+ * changes and reordered responses, and use the limits fully, however uneven their load is.
  */
 class PermitSimulationTest {
 
-    /** Held, since a logger that nobody holds forgets its level. */
-    private static final Logger LINES = Logger.getLogger("org.hallwall");
+    /** A strong reference, since the level of a collected logger is lost. */
+    private static final Logger LOGGER = Logger.getLogger("org.hallwall");
 
     private static final long END_MILLIS = 40_000;
-    /** The part of the named rates that is used where all targets have a limit. */
-    private static final double USED = 0.9;
-    /** What an entry's callers send, at the size that the product is designed for. */
+    /** The minimum utilisation of the declared rates if all targets are limited. */
+    private static final double MIN_UTILISATION = 0.9;
+    /** Requests per second of an entry's callers. */
     private static final double PER_ENTRY = 12;
 
     @BeforeEach
-    void quiet() {
-        LINES.setLevel(Level.SEVERE);
+    void disableLogging() {
+        LOGGER.setLevel(Level.SEVERE);
     }
 
-    /** Plays one seeded schedule and gives the highest ratio of what a window held to what was allowed. */
-    static double worst(long seed, boolean excused) {
+    /** Runs a seeded schedule and returns the highest ratio of arrivals to allowed requests in any window. */
+    static double maxRatio(long seed, boolean countedOnly) {
         int entries = 3 + (int) (seed % 10);
         SimulatedSystem s = new SimulatedSystem(entries, 9, 40 + 20 * (seed % 5), null, seed);
         new SimulatedFaults(s, END_MILLIS, seed).plan();
         s.run(END_MILLIS);
-        double worst = 0;
+        double maxRatio = 0;
         for (int t = 0; t < s.targets().size(); t++) {
-            worst = Math.max(worst, s.target(t).worst(excused));
+            maxRatio = Math.max(maxRatio, s.target(t).maxRatio(countedOnly));
         }
-        return worst;
+        return maxRatio;
     }
 
-    /**
-     * The last three seeds failed once: a suspended entry told of a limit that had ended, with an age by its own clock that had stood still,
-     * and the account ended a newer limit.
-     */
+    /** The last three seeds cover a suspended entry that reports the end of an outdated limit with a wrong age. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 59, 689, 962})
-    void theSumStaysWithinTheLimit(long seed) {
-        double worst = worst(seed, true);
-        Assertions.assertTrue(worst <= 1, () -> "a window held " + worst + " times of what is allowed");
+    void arrivalsStayWithinTheLimit(long seed) {
+        double ratio = maxRatio(seed, true);
+        Assertions.assertTrue(ratio <= 1, () -> "a window had " + ratio + " times the allowed requests");
     }
 
-    /** All targets have a limit, and more requests come than they take together. */
+    /** All targets are limited, and the load exceeds the sum of the limits. */
     @ParameterizedTest
     @CsvSource({
         "9, 0.3, false",
@@ -83,54 +79,54 @@
         "350, 2, false",
         "350, 50, false"
     })
-    void whatTheTargetsOfferIsUsed(int entries, double limit, boolean skewed) {
+    void limitsAreFullyUsed(int entries, double limit, boolean skewed) {
         int targets = 12;
         SimulatedSystem s = new SimulatedSystem(entries, targets, PER_ENTRY * entries, null, 1);
         if (skewed) {
             java.util.Arrays.fill(s.weights(), 1, entries, 0.01 / entries);
         }
         for (int t = 0; t < targets; t++) {
-            s.name(t, limit);
+            s.setLimit(t, limit);
         }
         s.run(END_MILLIS);
         long from = 5_000;
-        double used = 0;
+        double utilisation = 0;
         for (int t = 0; t < targets; t++) {
-            used += s.target(t).arrivals(from, END_MILLIS) / (limit * (END_MILLIS - from) / 1_000) / targets;
+            utilisation += s.target(t).arrivals(from, END_MILLIS) / (limit * (END_MILLIS - from) / 1_000) / targets;
         }
-        double part = used;
-        Assertions.assertTrue(part >= USED, () -> "only " + part + " of what the targets offer is used");
+        double fraction = utilisation;
+        Assertions.assertTrue(fraction >= MIN_UTILISATION, () -> "only " + fraction + " of the declared rates is used");
     }
 
-    /** A target without a limit is left, so that nobody is refused; the others still get what they offer or their even share. */
+    /** No request is refused while there are targets without a limit. */
     @ParameterizedTest
     @CsvSource({"9, 2", "82, 2", "350, 0.3"})
-    void targetsWithoutALimitTakeTheRest(int entries, double limit) {
+    void unlimitedTargetsServeTheRemainingLoad(int entries, double limit) {
         int targets = 12;
         SimulatedSystem s = new SimulatedSystem(entries, targets, PER_ENTRY * entries, null, 1);
         for (int t = 0; t < targets / 2; t++) {
-            s.name(t, limit);
+            s.setLimit(t, limit);
         }
         s.run(END_MILLIS);
         Assertions.assertEquals(s.requests(), s.served());
     }
 
-    /** A limit that ends: within seconds the target has its share again, and not much more at any moment. */
+    /** After its limit has ended a target soon gets its even share again, without a surge. */
     @ParameterizedTest
     @CsvSource({"9, 0", "9, 2", "82, 2", "350, 0.3"})
-    void aTargetWhoseLimitEndsGetsItsShareAgain(int entries, double limit) {
+    void targetRegainsItsShareAfterTheLimitEnds(int entries, double limit) {
         int targets = 10;
         double perSecond = PER_ENTRY * entries;
         long endsAt = 15_000;
-        long soon = 15_000;
+        long settleMillis = 15_000;
         SimulatedSystem s = new SimulatedSystem(entries, targets, perSecond, null, 1);
-        s.name(0, limit);
-        s.at(endsAt, () -> s.name(0, -1));
+        s.setLimit(0, limit);
+        s.at(endsAt, () -> s.setLimit(0, -1));
         s.run(END_MILLIS);
         double even = perSecond / targets;
-        int after = s.target(0).arrivals(endsAt + soon, END_MILLIS);
-        double share = after / even / ((END_MILLIS - endsAt - soon) / 1_000.0);
-        Assertions.assertTrue(share > 0.8, () -> "it gets only " + share + " of its even share");
+        int after = s.target(0).arrivals(endsAt + settleMillis, END_MILLIS);
+        double share = after / even / ((END_MILLIS - endsAt - settleMillis) / 1_000.0);
+        Assertions.assertTrue(share > 0.8, () -> "the target gets only " + share + " of its even share");
         for (long t = endsAt; t < END_MILLIS; t += 1_000) {
             int second = s.target(0).arrivals(t, t + 1_000);
             Assertions.assertTrue(
--- a/serving/src/test/java/org/hallwall/serving/permit/ShareLimiter.java
+++ b/serving/src/test/java/org/hallwall/serving/permit/ShareLimiter.java
@@ -23,26 +23,26 @@
 
 import org.hallwall.core.id.InstanceId;
 
-/** Ways to divide a limit that were weighed against permits from an account: each entry has a bucket for its share of the rate. */
+/** Alternative strategies without a central token bucket, for comparison: each entry limits itself to its share of the rate. */
 final class ShareLimiter implements RateLimiter {
 
-    /** How an entry's share is found. */
-    enum Way {
-        /** An even share; the bucket holds a whole request at least, also at first. */
+    /** How an entry's share is determined. */
+    enum Strategy {
+        /** An even share; the bucket starts with one request. */
         EVEN_TOKENS,
-        /** An even share; the bucket is empty at first and holds one request. */
+        /** An even share; the bucket starts empty. */
         EVEN_PARTS,
-        /** A share by the requests of the last second, as all entries report them; for the rest as before. */
+        /** A share in proportion to the demand of all entries in the last second; the bucket starts empty. */
         BY_DEMAND,
-        /** Each entry has a time of its own in turn, and sends one request in it or none. */
+        /** Entries take turns; each may send one request in its time slot. */
         TIME_SLOTS
     }
 
     private static final long REPORT_MILLIS = 1_000;
-    private static final double MILLIS_A_SECOND = 1_000;
+    private static final double MILLIS_PER_SECOND = 1_000;
 
     private final SimulatedSystem system;
-    private final Way way;
+    private final Strategy strategy;
     private final int entries;
     private final int index;
     private final Map<InstanceId, Bucket> buckets = new HashMap<>();
@@ -51,19 +51,20 @@
     /**
      * Creates a limiter.
      *
-     * @param demand the wants of all entries by target, shared by them: this second's and the last one's, by entry
+     * @param demand the demand by target, shared by all entries: this second and the last one, by entry
      */
-    ShareLimiter(SimulatedSystem system, Way way, int entries, int index, Map<InstanceId, double[]> demand) {
+    ShareLimiter(SimulatedSystem system, Strategy strategy, int entries, int index, Map<InstanceId, double[]> demand) {
         this.system = system;
-        this.way = way;
+        this.strategy = strategy;
         this.entries = entries;
         this.index = index;
         this.demand = demand;
     }
 
     @Override
-    public void take(InstanceId target, LimitStatement statement) {
-        Bucket b = buckets.computeIfAbsent(target, t -> new Bucket(system.now(), way == Way.EVEN_TOKENS ? 1 : 0));
+    public void applyStatement(InstanceId target, LimitStatement statement) {
+        Bucket b = buckets.computeIfAbsent(
+                target, t -> new Bucket(system.now(), strategy == Strategy.EVEN_TOKENS ? 1 : 0));
         if (statement.replaces(b.statement)) {
             b.statement = statement;
         }
@@ -95,23 +96,23 @@
         if (!isLimited(target)) {
             return true;
         }
-        if (way == Way.TIME_SLOTS) {
+        if (strategy == Strategy.TIME_SLOTS) {
             return slot(target) % entries == index && buckets.get(target).usedSlot != slot(target);
         }
         Bucket b = buckets.get(target);
         double rate = perSecond(target) * share(target);
-        b.tokens = Math.min(Math.max(1, rate), b.tokens + rate * (system.now() - b.filledAt) / MILLIS_A_SECOND);
+        b.tokens = Math.min(Math.max(1, rate), b.tokens + rate * (system.now() - b.filledAt) / MILLIS_PER_SECOND);
         b.filledAt = system.now();
         return b.tokens >= 1;
     }
 
     private long slot(InstanceId target) {
-        return (long) (system.now() * perSecond(target) / MILLIS_A_SECOND);
+        return (long) (system.now() * perSecond(target) / MILLIS_PER_SECOND);
     }
 
     private double share(InstanceId target) {
         double[] counts = demand.get(target);
-        if (way != Way.BY_DEMAND || counts == null) {
+        if (strategy != Strategy.BY_DEMAND || counts == null) {
             return 1.0 / entries;
         }
         double sum = 0;
@@ -122,7 +123,7 @@
     }
 
     @Override
-    public boolean tryTake(InstanceId target) {
+    public boolean tryAcquire(InstanceId target) {
         if (!hasPermit(target)) {
             return false;
         }
--- a/serving/src/test/java/org/hallwall/serving/permit/SimulatedEntry.java
+++ b/serving/src/test/java/org/hallwall/serving/permit/SimulatedEntry.java
@@ -24,28 +24,28 @@
 
 import org.hallwall.core.id.InstanceId;
 
-/** An entry that sends requests as its limiter allows, and asks for permits as the product's exchange does. */
+/** An entry that sends requests as its limiter allows, and requests permits like the production code. */
 final class SimulatedEntry {
 
-    private static final long PACE_MILLIS = 50;
-    private static final long FAILED_PACE_MILLIS = 200;
+    private static final long MIN_INTERVAL_MILLIS = 50;
+    private static final long FAILED_INTERVAL_MILLIS = 200;
     private static final long TIMEOUT_MILLIS = 400;
-    private static final int SLOW_ANSWER_IN = 50;
+    private static final int SLOW_ANSWER_ONE_IN = 50;
 
     private final SimulatedSystem system;
     private final InstanceId id;
     private final int entryCount;
-    private final long[] knowsSince;
-    private ShareLimiter shares;
+    private final long[] limitKnownSince;
+    private ShareLimiter shareLimiter;
     private EntryPermits permits;
-    private long life;
-    private long stoodStill;
+    private long incarnation;
+    private long suspendedMillis;
     private boolean running = true;
-    private boolean frozen;
-    private boolean cut;
+    private boolean suspended;
+    private boolean partitioned;
     private boolean asking;
-    private long notBefore;
-    private long disturbedAt = Long.MIN_VALUE / 2;
+    private long nextRequestAt;
+    private long lastFaultEndsAt = Long.MIN_VALUE / 2;
     private int messages;
     private int asks;
 
@@ -53,35 +53,35 @@
         this.system = system;
         this.id = id;
         this.entryCount = entryCount;
-        this.knowsSince = new long[system.targets().size()];
+        this.limitKnownSince = new long[system.targets().size()];
         start();
     }
 
-    /** Replaces the product's limiter. */
-    void limitBy(ShareLimiter limiter) {
-        shares = limiter;
+    /** Replaces {@link EntryPermits}; null keeps it. */
+    void setLimiter(ShareLimiter limiter) {
+        shareLimiter = limiter;
     }
 
     private void start() {
-        life++;
+        incarnation++;
         running = true;
         asking = false;
         permits = new EntryPermits(this::clock, system.random()::nextDouble);
         permits.entries(entryCount);
-        Arrays.fill(knowsSince, Long.MAX_VALUE);
+        Arrays.fill(limitKnownSince, Long.MAX_VALUE);
     }
 
-    /** The steady clock of a suspended instance stands still. */
+    /** The monotonic clock, which does not advance while the instance is suspended. */
     long clock() {
-        return system.now() - stoodStill;
+        return system.now() - suspendedMillis;
     }
 
-    long life() {
-        return life;
+    long incarnation() {
+        return incarnation;
     }
 
-    long disturbedAt() {
-        return disturbedAt;
+    long lastFaultEndsAt() {
+        return lastFaultEndsAt;
     }
 
     int messages() {
@@ -93,48 +93,44 @@
     }
 
     boolean isRunning() {
-        return running && !frozen;
+        return running && !suspended;
     }
 
     boolean knowsLimit(int target, long forMillis) {
-        return knowsSince[target] <= system.now() - forMillis;
+        return limitKnownSince[target] <= system.now() - forMillis;
     }
 
-    // --- faults
-
     void restart(long millis) {
-        disturb(millis);
+        recordFault(millis);
         running = false;
-        life++;
+        incarnation++;
         system.later(millis, this::start);
     }
 
-    void freeze(long millis) {
-        disturb(millis);
-        frozen = true;
+    void suspend(long millis) {
+        recordFault(millis);
+        suspended = true;
         system.later(millis, () -> {
-            frozen = false;
-            stoodStill += millis;
+            suspended = false;
+            suspendedMillis += millis;
         });
     }
 
-    void cut(long millis) {
-        disturb(millis);
-        cut = true;
-        system.later(millis, () -> cut = false);
+    void partition(long millis) {
+        recordFault(millis);
+        partitioned = true;
+        system.later(millis, () -> partitioned = false);
     }
 
-    private void disturb(long millis) {
-        disturbedAt = Math.max(disturbedAt, system.now() + millis);
+    private void recordFault(long millis) {
+        lastFaultEndsAt = Math.max(lastFaultEndsAt, system.now() + millis);
     }
 
-    // --- requests
-
-    /** Sends a request to a target; false if it is refused. */
+    /** Sends a request to a target; returns false if no target is available. */
     boolean request() {
         List<Integer> limited = new ArrayList<>();
         List<Integer> others = new ArrayList<>();
-        want();
+        drawDemand();
         for (int t = 0; t < system.targets().size(); t++) {
             if (!limiter().isLimited(target(t))) {
                 others.add(t);
@@ -147,13 +143,13 @@
             return false;
         }
         int chosen = from.get(system.random().nextInt(from.size()));
-        limiter().tryTake(target(chosen));
-        boolean slow = system.random().nextInt(SLOW_ANSWER_IN) == 0;
+        limiter().tryAcquire(target(chosen));
+        boolean slow = system.random().nextInt(SLOW_ANSWER_ONE_IN) == 0;
         system.send(this, chosen, clock(), slow ? 2_000 : 20 + system.random().nextInt(300));
         return true;
     }
 
-    private void want() {
+    private void drawDemand() {
         double sum = 0;
         boolean even = system.targets().stream().anyMatch(t -> !limiter().isLimited(t));
         for (InstanceId t : system.targets()) {
@@ -163,97 +159,97 @@
         for (InstanceId t : system.targets()) {
             drawn -= even ? 1 : perSecond(t);
             if (drawn < 0) {
-                wanted(t);
+                recordDemand(t);
                 return;
             }
         }
     }
 
-    private void wanted(InstanceId target) {
-        if (shares == null) {
+    private void recordDemand(InstanceId target) {
+        if (shareLimiter == null) {
             permits.want(target);
         } else {
-            shares.want(target);
+            shareLimiter.want(target);
         }
     }
 
     private double perSecond(InstanceId target) {
-        return shares == null ? permits.perSecond(target) : shares.perSecond(target);
+        return shareLimiter == null ? permits.perSecond(target) : shareLimiter.perSecond(target);
     }
 
     private RateLimiter limiter() {
-        return shares == null ? permits : shares;
+        return shareLimiter == null ? permits : shareLimiter;
     }
 
     private InstanceId target(int t) {
         return system.targets().get(t);
     }
 
-    void answered(long sentIn, int target, double limit, long askedAt) {
-        if (sentIn != life) {
+    void answered(long requestIncarnation, int target, double limit, long requestedAt) {
+        if (requestIncarnation != incarnation) {
             return;
         }
-        if (frozen) {
-            system.later(SimulatedSystem.STEP_MILLIS, () -> answered(sentIn, target, limit, askedAt));
+        if (suspended) {
+            system.later(SimulatedSystem.STEP_MILLIS, () -> answered(requestIncarnation, target, limit, requestedAt));
             return;
         }
         RateLimit named = limit < 0 ? null : new RateLimit(limit);
-        limiter().take(target(target), new LimitStatement(named, askedAt, clock()));
-        knowsSince[target] = named == null ? Long.MAX_VALUE : Math.min(knowsSince[target], system.now());
+        limiter().applyStatement(target(target), new LimitStatement(named, requestedAt, clock()));
+        limitKnownSince[target] = named == null ? Long.MAX_VALUE : Math.min(limitKnownSince[target], system.now());
     }
 
-    // --- the accounts
-
-    void told(List<LimitReport> limits) {
-        if (isRunning() && !cut) {
+    void receiveLimits(List<LimitReport> limits) {
+        if (isRunning() && !partitioned) {
             permits.learn(limits);
         }
     }
 
-    void toldShares(int target, double limit) {
-        if (shares != null) {
-            shares.take(target(target), new LimitStatement(new RateLimit(limit), clock(), clock()));
+    void receiveShare(int target, double limit) {
+        if (shareLimiter != null) {
+            shareLimiter.applyStatement(target(target), new LimitStatement(new RateLimit(limit), clock(), clock()));
         }
     }
 
-    void step() {
-        long due = isRunning() && shares == null && !asking ? permits.dueMillis() : -1;
-        if (due != 0 || clock() < notBefore) {
+    void requestPermits() {
+        long due = isRunning() && shareLimiter == null && !asking ? permits.dueMillis() : -1;
+        if (due != 0 || clock() < nextRequestAt) {
             return;
         }
-        List<PermitAsk> wanted = permits.asks();
-        if (wanted.isEmpty()) {
+        List<PermitAsk> permitRequests = permits.asks();
+        if (permitRequests.isEmpty()) {
             return;
         }
         messages++;
-        asks += wanted.size();
+        asks += permitRequests.size();
         asking = true;
-        long askedAt = clock();
-        long sentIn = life;
-        notBefore = askedAt + FAILED_PACE_MILLIS;
-        system.later(1 + system.random().nextInt(8), () -> reach(wanted, askedAt, sentIn));
-        system.later(TIMEOUT_MILLIS, () -> asking &= sentIn != life || clock() - askedAt < TIMEOUT_MILLIS);
+        long requestedAt = clock();
+        long requestIncarnation = incarnation;
+        nextRequestAt = requestedAt + FAILED_INTERVAL_MILLIS;
+        system.later(1 + system.random().nextInt(8), () -> deliver(permitRequests, requestedAt, requestIncarnation));
+        system.later(
+                TIMEOUT_MILLIS,
+                () -> asking &= requestIncarnation != incarnation || clock() - requestedAt < TIMEOUT_MILLIS);
     }
 
-    private void reach(List<PermitAsk> wanted, long askedAt, long sentIn) {
+    private void deliver(List<PermitAsk> permitRequests, long requestedAt, long requestIncarnation) {
         PermitLedger ledger = system.ledger(this);
-        if (ledger == null || cut) {
+        if (ledger == null || partitioned) {
             return;
         }
-        List<PermitGrant> grants = ledger.take(id, wanted);
-        system.later(1 + system.random().nextInt(8), () -> taken(grants, askedAt, sentIn));
+        List<PermitGrant> grants = ledger.take(id, permitRequests);
+        system.later(1 + system.random().nextInt(8), () -> receiveGrants(grants, requestedAt, requestIncarnation));
     }
 
-    private void taken(List<PermitGrant> grants, long askedAt, long sentIn) {
-        if (sentIn != life || cut) {
+    private void receiveGrants(List<PermitGrant> grants, long requestedAt, long requestIncarnation) {
+        if (requestIncarnation != incarnation || partitioned) {
             return;
         }
-        if (frozen) {
-            system.later(SimulatedSystem.STEP_MILLIS, () -> taken(grants, askedAt, sentIn));
+        if (suspended) {
+            system.later(SimulatedSystem.STEP_MILLIS, () -> receiveGrants(grants, requestedAt, requestIncarnation));
             return;
         }
         asking = false;
-        notBefore = askedAt + PACE_MILLIS;
-        permits.take(grants, askedAt);
+        nextRequestAt = requestedAt + MIN_INTERVAL_MILLIS;
+        permits.take(grants, requestedAt);
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/permit/SimulatedFaults.java
+++ b/serving/src/test/java/org/hallwall/serving/permit/SimulatedFaults.java
@@ -20,7 +20,7 @@
 
 import java.util.Random;
 
-/** A seeded schedule of faults and of limits that change, for one simulated system. */
+/** A seeded schedule of faults and changing limits for a simulated system. */
 final class SimulatedFaults {
 
     private static final double[] LIMITS = {-1, 0, 0.3, 1, 1.8, 2.2, 5, 12, 50};
@@ -43,24 +43,24 @@
         }
         for (int i = 0; i < FAULTS; i++) {
             long time = (long) (random.nextDouble() * end);
-            system.at(time, this::fault);
+            system.at(time, this::injectFault);
         }
-        system.at((long) (random.nextDouble() * end), this::shift);
+        system.at((long) (random.nextDouble() * end), this::shiftLoad);
     }
 
-    /** A third of the targets name limits that change every few seconds; a third name one; the others none. */
+    /** A third of the targets change their limit every few seconds, a third declare one limit and the others none. */
     private void planLimits(int t) {
         int kind = t % 3;
         int changes = kind == 0 ? 4 : kind == 1 ? 1 : 0;
         long time = 1_000 + random.nextInt(4_000);
         for (int i = 0; i < changes; i++) {
             double limit = LIMITS[random.nextInt(LIMITS.length)];
-            system.at(time, () -> system.name(t, limit));
+            system.at(time, () -> system.setLimit(t, limit));
             time += 500 + random.nextInt(12_000);
         }
     }
 
-    private void fault() {
+    private void injectFault() {
         long millis = 100 + (long) (random.nextDouble() * MOST_FAULT_MILLIS);
         SimulatedEntry entry =
                 system.entries().get(random.nextInt(system.entries().size()));
@@ -69,10 +69,10 @@
                 entry.restart(millis);
                 break;
             case 1:
-                entry.freeze(millis);
+                entry.suspend(millis);
                 break;
             case 2:
-                entry.cut(millis);
+                entry.partition(millis);
                 break;
             case 3:
                 system.changeLeader(random.nextInt(1_000));
@@ -81,13 +81,13 @@
                 system.loseLeader(millis);
                 break;
             default:
-                system.entries().stream().filter(e -> random.nextBoolean()).forEach(e -> e.cut(millis));
+                system.entries().stream().filter(e -> random.nextBoolean()).forEach(e -> e.partition(millis));
                 break;
         }
     }
 
-    /** From now on most callers use few entries. */
-    private void shift() {
+    /** Moves most of the load to few entries. */
+    private void shiftLoad() {
         double[] weights = system.weights();
         for (int e = 0; e < weights.length; e++) {
             weights[e] = random.nextInt(4) == 0 ? 1 : 0.02;
--- a/serving/src/test/java/org/hallwall/serving/permit/SimulatedSystem.java
+++ b/serving/src/test/java/org/hallwall/serving/permit/SimulatedSystem.java
@@ -28,14 +28,14 @@
 
 import org.hallwall.core.id.InstanceId;
 
-/** Entries, the control instances that keep the accounts, and targets that name limits, on a virtual clock. */
+/** Entries, control instances and rate-limited targets on a virtual clock. */
 final class SimulatedSystem {
 
     static final long STEP_MILLIS = 5;
-    private static final long TELL_MILLIS = 200;
+    private static final long PUBLISH_MILLIS = 200;
     private static final long VERSIONS = 1_000_000;
-    /** How long a fault excuses what an entry sends. */
-    private static final long EXCUSED_MILLIS = 3_000;
+    /** How long after a fault an entry's requests are not counted. */
+    private static final long RECOVERY_MILLIS = 3_000;
 
     private final Random random;
     private final List<SimulatedEntry> entries = new ArrayList<>();
@@ -43,7 +43,7 @@
     private final List<InstanceId> ids = new ArrayList<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final double perSecond;
-    private final Set<Integer> heard = new HashSet<>();
+    private final Set<Integer> announced = new HashSet<>();
     private double[] weights;
     private int ledgers;
     private PermitLedger ledger;
@@ -57,11 +57,11 @@
     /**
      * Creates a system.
      *
-     * @param entryCount how many entries there are
-     * @param targetCount how many targets there are
-     * @param perSecond the requests a second of all callers
-     * @param limiters makes the limiter of an entry; null for the product's
-     * @param seed what chance does
+     * @param entryCount the number of entries
+     * @param targetCount the number of targets
+     * @param perSecond the requests per second of all callers
+     * @param limiters creates the limiter of an entry; null for {@link EntryPermits}
+     * @param seed the random seed
      */
     SimulatedSystem(
             int entryCount,
@@ -79,7 +79,7 @@
         }
         for (int e = 0; e < entryCount; e++) {
             SimulatedEntry entry = new SimulatedEntry(this, new InstanceId("e-" + e), entryCount);
-            entry.limitBy(limiters == null ? null : limiters.apply(this, entry));
+            entry.setLimiter(limiters == null ? null : limiters.apply(this, entry));
             entries.add(entry);
             weights[e] = 1;
         }
@@ -105,14 +105,14 @@
         return entries;
     }
 
-    /** Gives how the callers' requests are divided over the entries. */
+    /** Returns the mutable weights by which requests are distributed over the entries. */
     double[] weights() {
         return weights;
     }
 
-    /** From now on a target names a limit; a negative one means none. */
-    void name(int t, double limit) {
-        targets.get(t).name(limit, now);
+    /** Sets the limit that a target declares; negative for none. */
+    void setLimit(int t, double limit) {
+        targets.get(t).setLimit(limit, now);
     }
 
     int requests() {
@@ -135,20 +135,20 @@
         return new PermitLedger(() -> now, ++ledgers * VERSIONS);
     }
 
-    /** Another control instance keeps the accounts from now on; the one before does so too for a moment. */
-    void changeLeader(long bothMillis) {
+    /** Changes the leader; the former one also answers requests for a time. */
+    void changeLeader(long overlapMillis) {
         former = ledger;
-        formerUntil = now + bothMillis;
+        formerUntil = now + overlapMillis;
         ledger = newLedger();
     }
 
-    /** No control instance keeps the accounts for a time. */
+    /** Leaves the system without a leader for a time. */
     void loseLeader(long millis) {
         ledger = null;
         later(millis, () -> ledger = newLedger());
     }
 
-    /** Gives the accounts that an entry would ask; null if there are none. */
+    /** Returns the ledger that an entry would reach; null if there is none. */
     PermitLedger ledger(SimulatedEntry entry) {
         boolean old = now < formerUntil && entries.indexOf(entry) % 2 == 0;
         return old ? former : ledger;
@@ -159,12 +159,12 @@
             while (!events.isEmpty() && events.peek().at() <= now) {
                 events.poll().action().run();
             }
-            if (now % TELL_MILLIS == 0 && ledger != null) {
+            if (now % PUBLISH_MILLIS == 0 && ledger != null) {
                 List<LimitReport> limits = ledger.limits();
-                entries.forEach(e -> e.told(limits));
-                tellShares();
+                entries.forEach(e -> e.receiveLimits(limits));
+                publishShares();
             }
-            entries.forEach(SimulatedEntry::step);
+            entries.forEach(SimulatedEntry::requestPermits);
             double expected = perSecond * STEP_MILLIS / 1_000;
             int count = (int) expected + (random.nextDouble() < expected % 1 ? 1 : 0);
             for (int i = 0; i < count; i++) {
@@ -173,13 +173,13 @@
         }
     }
 
-    /** The other ways to divide a limit learn as soon as the product's what any entry has heard. */
-    private void tellShares() {
+    /** Distributes limits to {@link ShareLimiter}s at the same time as to {@link EntryPermits}. */
+    private void publishShares() {
         for (int t = 0; t < targets.size(); t++) {
-            double limit = targets.get(t).named(now);
-            if (limit >= 0 && heard.contains(t)) {
+            double limit = targets.get(t).limitAt(now);
+            if (limit >= 0 && announced.contains(t)) {
                 for (SimulatedEntry e : entries) {
-                    e.toldShares(t, limit);
+                    e.receiveShare(t, limit);
                 }
             }
         }
@@ -201,17 +201,17 @@
         }
     }
 
-    /** A request reaches a target, which answers by what it names when the answer leaves. */
-    void send(SimulatedEntry entry, int target, long askedAt, long answerMillis) {
-        long life = entry.life();
+    /** Delivers a request to a target, whose response declares the limit in force when it is sent. */
+    void send(SimulatedEntry entry, int target, long requestedAt, long answerMillis) {
+        long incarnation = entry.incarnation();
         later(1 + random.nextInt(4), () -> {
-            boolean counts = entry.knowsLimit(target, LimitWindows.ON_ITS_WAY_MILLIS)
-                    && now - entry.disturbedAt() > EXCUSED_MILLIS;
-            targets.get(target).arrived(now, counts);
+            boolean counts = entry.knowsLimit(target, LimitWindows.IN_FLIGHT_MILLIS)
+                    && now - entry.lastFaultEndsAt() > RECOVERY_MILLIS;
+            targets.get(target).recordArrival(now, counts);
             later(answerMillis, () -> {
-                double limit = targets.get(target).named(now);
-                heard.add(target);
-                later(1 + random.nextInt(4), () -> entry.answered(life, target, limit, askedAt));
+                double limit = targets.get(target).limitAt(now);
+                announced.add(target);
+                later(1 + random.nextInt(4), () -> entry.answered(incarnation, target, limit, requestedAt));
             });
         });
     }
