--- a/serving/src/main/java/org/hallwall/serving/availability/NoticeReader.java
+++ b/serving/src/main/java/org/hallwall/serving/availability/NoticeReader.java
@@ -26,15 +26,15 @@
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.serving.target.StartedTarget;
 
-/** Reads what the head of an answer says of its target; the body need not come. */
+/** Parses what the status and headers of a response declare about its target. */
 public final class NoticeReader {
 
-    private static final String LEAVES = "1";
+    private static final String LEAVING_VALUE = "1";
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int UNAVAILABLE = 503;
     private static final int MISDIRECTED = 421;
-    /** How much of what was not understood is kept, in characters. */
-    private static final int MOST_UNREAD = 40;
+    /** Maximum length in characters of malformed values that are kept for logs. */
+    private static final int MAX_MALFORMED_LENGTH = 40;
 
     private final String leaving;
     private final String answeredBy;
@@ -43,9 +43,9 @@
     /**
      * Creates a reader.
      *
-     * @param leaving the header by which a target says that it is about to end
-     * @param answeredBy the header that names the target that has answered
-     * @param rateLimit the header that names the requests a second that a target takes from the whole system
+     * @param leaving the name of the header by which a target declares that it is draining
+     * @param answeredBy the name of the header with the target that has answered
+     * @param rateLimit the name of the header with the requests per second that a target accepts from all entries
      */
     public NoticeReader(String leaving, String answeredBy, String rateLimit) {
         this.leaving = leaving;
@@ -54,56 +54,57 @@
     }
 
     /**
-     * Says whether a status turns a request away.
+     * Returns whether a status rejects a request because of overload or unavailability.
      *
-     * @param status the status of an answer
-     * @return true if it does
+     * @param status the status of a response
+     * @return true for 429 and 503
      */
-    public static boolean isTurnedAway(int status) {
+    public static boolean isRejected(int status) {
         return status == UNAVAILABLE || status == TOO_MANY_REQUESTS;
     }
 
     /**
-     * Reads the head of an answer.
+     * Parses the head of a response.
      *
-     * @param target the target that was asked
-     * @param status the status
-     * @param headers the headers
-     * @return what it says of that target; nothing if another one has answered in its place
+     * @param target the target that the request was sent to
+     * @param status the response's status
+     * @param headers the response's headers
+     * @return the notice; {@link TargetNotice#NONE} if another target has answered at the same address
      */
     public TargetNotice read(InstanceId target, int status, HttpHeaders headers) {
-        boolean another = status == MISDIRECTED && !StartedTarget.name(target).equals(headers.get(answeredBy));
-        if (another) {
+        boolean misdirected =
+                status == MISDIRECTED && !StartedTarget.name(target).equals(headers.get(answeredBy));
+        if (misdirected) {
             return TargetNotice.NONE;
         }
         List<String> leaves = headers.getAll(leaving);
-        List<String> times = isTurnedAway(status) ? headers.getAll(HttpHeaderNames.RETRY_AFTER) : List.of();
+        List<String> times = isRejected(status) ? headers.getAll(HttpHeaderNames.RETRY_AFTER) : List.of();
         List<String> limits = headers.getAll(rateLimit);
         if (leaves.isEmpty() && times.isEmpty() && limits.isEmpty()) {
             return TargetNotice.NONE;
         }
         return new TargetNotice(
-                BackoffTime.longest(times),
-                leaves.contains(LEAVES),
+                RetryAfterHeader.longest(times),
+                leaves.contains(LEAVING_VALUE),
                 RateLimitHeader.strictest(limits),
-                unread(leaves, times, limits));
+                malformed(leaves, times, limits));
     }
 
-    private static String unread(List<String> leaves, List<String> times, List<String> limits) {
-        List<String> out = new ArrayList<>();
-        if (!leaves.stream().allMatch(LEAVES::equals)) {
-            out.addAll(leaves);
+    private static String malformed(List<String> leaves, List<String> times, List<String> limits) {
+        List<String> malformed = new ArrayList<>();
+        if (!leaves.stream().allMatch(LEAVING_VALUE::equals)) {
+            malformed.addAll(leaves);
         }
-        if (!BackoffTime.areTimes(times)) {
-            out.addAll(times);
+        if (!RetryAfterHeader.isWellFormed(times)) {
+            malformed.addAll(times);
         }
-        if (!RateLimitHeader.areLimits(limits)) {
-            out.addAll(limits);
+        if (!RateLimitHeader.isWellFormed(limits)) {
+            malformed.addAll(limits);
         }
-        if (out.isEmpty()) {
+        if (malformed.isEmpty()) {
             return null;
         }
-        String text = String.join(" ", out);
-        return text.substring(0, Math.min(text.length(), MOST_UNREAD));
+        String text = String.join(" ", malformed);
+        return text.substring(0, Math.min(text.length(), MAX_MALFORMED_LENGTH));
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/availability/RateLimitHeader.java
+++ b/serving/src/main/java/org/hallwall/serving/availability/RateLimitHeader.java
@@ -23,7 +23,7 @@
 
 import org.hallwall.serving.permit.RateLimit;
 
-/** The header by which a target names its rate limit: requests a second, a decimal number without sign or exponent. */
+/** The header by which a target declares its rate limit: requests per second, a decimal number without sign or exponent. */
 final class RateLimitHeader {
 
     private static final Pattern PER_SECOND = Pattern.compile("[0-9]{1,18}(\\.[0-9]{1,18})?");
@@ -31,31 +31,31 @@
     private RateLimitHeader() {}
 
     /**
-     * Reads the strictest limit of some texts.
+     * Parses the strictest limit of a header.
      *
-     * @param values the values of a header, which may hold several limits with commas between them
-     * @return the limit; null if none can be read
+     * @param values the header's values, each of which may be a comma-separated list
+     * @return the limit; null if no value is valid
      */
     static RateLimit strictest(List<String> values) {
-        RateLimit out = null;
+        RateLimit strictest = null;
         for (String v : values) {
             for (String part : v.split(",")) {
                 RateLimit limit = read(part.trim());
-                if (limit != null && limit.isStricterThan(out)) {
-                    out = limit;
+                if (limit != null && limit.isStricterThan(strictest)) {
+                    strictest = limit;
                 }
             }
         }
-        return out;
+        return strictest;
     }
 
     /**
-     * Says whether some texts are limits throughout.
+     * Returns whether all values of a header are valid.
      *
-     * @param values the values of a header
-     * @return false if a part of them cannot be read
+     * @param values the header's values
+     * @return false if any value cannot be parsed
      */
-    static boolean areLimits(List<String> values) {
+    static boolean isWellFormed(List<String> values) {
         return values.stream()
                 .flatMap(v -> List.of(v.split(",", -1)).stream())
                 .allMatch(part -> PER_SECOND.matcher(part.trim()).matches());
--- a/serving/src/main/java/org/hallwall/serving/availability/BackoffTime.java
+++ b/serving/src/main/java/org/hallwall/serving/availability/RetryAfterHeader.java
@@ -22,45 +22,42 @@
 import java.util.regex.Pattern;
 
 /**
- * The time for which a target backs off: seconds, with fractions. Dates are not read, since the clocks of instances differ by
- * more than such a time.
+ * The backoff time that a target requests by {@code Retry-After}: decimal seconds. HTTP dates are not supported, since clock skew between
+ * instances exceeds typical backoff times.
  */
-final class BackoffTime {
+final class RetryAfterHeader {
 
-    /**
-     * The longest time that is obeyed, in milliseconds. Overload passes within minutes, and a target that asks for more by mistake is not
-     * lost for longer; what it then answers counts anew.
-     */
-    static final long MOST_MILLIS = 300_000;
+    /** The longest backoff time; bounds the effect of a wrong value. */
+    static final long MAX_MILLIS = 300_000;
 
     private static final Pattern SECONDS = Pattern.compile("[0-9]{1,18}(\\.[0-9]{1,18})?");
-    private static final double MILLIS_A_SECOND = 1_000;
+    private static final double MILLIS_PER_SECOND = 1_000;
 
-    private BackoffTime() {}
+    private RetryAfterHeader() {}
 
     /**
-     * Reads the longest time of some texts.
+     * Parses the longest time of a header.
      *
-     * @param values the values of a header, which may hold several times with commas between them
-     * @return milliseconds, rounded up; zero if none can be read
+     * @param values the header's values, each of which may be a comma-separated list
+     * @return the time in milliseconds, rounded up; zero if no value is valid
      */
     static long longest(List<String> values) {
-        long out = 0;
+        long longest = 0;
         for (String v : values) {
             for (String part : v.split(",")) {
-                out = Math.max(out, millis(part.trim()));
+                longest = Math.max(longest, millis(part.trim()));
             }
         }
-        return out;
+        return longest;
     }
 
     /**
-     * Says whether some texts are times throughout.
+     * Returns whether all values of a header are valid.
      *
-     * @param values the values of a header
-     * @return false if a part of them cannot be read
+     * @param values the header's values
+     * @return false if any value cannot be parsed
      */
-    static boolean areTimes(List<String> values) {
+    static boolean isWellFormed(List<String> values) {
         return values.stream()
                 .flatMap(v -> List.of(v.split(",", -1)).stream())
                 .allMatch(part -> SECONDS.matcher(part.trim()).matches());
@@ -70,6 +67,6 @@
         if (!SECONDS.matcher(text).matches()) {
             return 0;
         }
-        return (long) Math.min(MOST_MILLIS, Math.ceil(Double.parseDouble(text) * MILLIS_A_SECOND));
+        return (long) Math.min(MAX_MILLIS, Math.ceil(Double.parseDouble(text) * MILLIS_PER_SECOND));
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/availability/TargetAvailability.java
+++ b/serving/src/main/java/org/hallwall/serving/availability/TargetAvailability.java
@@ -29,23 +29,22 @@
 import org.jboss.logging.Logger;
 
 /**
- * Knows to which targets this instance may send nothing: those that back off, those that are draining, and those with a rate limit for
- * which there is no permit. All ways to a target ask here, with no exception for the case that there is no other target.
+ * Tracks which targets may be sent requests: a target is unavailable while it backs off, drains, or has a rate limit without a free
+ * permit. Every sender checks this class, even if there is no other target.
  *
- * <p>What is known belongs to one start of a target. Draining is final: no announcement takes it back, whichever is the later one,
- * since a target that drains ends. Safe for all threads.
+ * <p>The state belongs to one start of a target. Draining is final for that start, whatever later announcements say. Thread-safe.
  */
 public final class TargetAvailability {
 
     private static final Logger LOG = Logger.getLogger(TargetAvailability.class);
-    /** The time of a request that is not known; it is before all others. */
+    /** An unknown request time, earlier than any other. */
     private static final long UNKNOWN_TIME = Long.MIN_VALUE / 2;
-    /** What is remembered at most; the oldest goes first. A fleet has a few hundred targets. */
-    private static final int MOST_REMEMBERED = 4_096;
-    /** Fractions of a millisecond that the clock does not show. */
+    /** Maximum number of targets; the oldest one is evicted. */
+    private static final int MAX_TARGETS = 4_096;
+    /** Compensates for the resolution of the clock. */
     private static final long ROUNDING_MILLIS = 1;
-    /** The shortest time between two lines about what was not understood, in milliseconds. */
-    private static final long UNREAD_LINE_MILLIS = 1_000;
+    /** The minimum interval between log lines about malformed notices. */
+    private static final long MALFORMED_LOG_INTERVAL_MILLIS = 1_000;
 
     private final Ticker ticker;
     private final RateLimiter limiter;
@@ -54,17 +53,17 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<InstanceId, TargetCondition> eldest) {
-            return size() > MOST_REMEMBERED;
+            return size() > MAX_TARGETS;
         }
     };
     private long unread;
-    private long unreadLineAt = Long.MIN_VALUE / 2;
+    private long malformedLoggedAt = Long.MIN_VALUE / 2;
 
     /**
-     * Creates it; all targets are available.
+     * Creates it with all targets available.
      *
      * @param ticker the clock
-     * @param limiter keeps the rate limits that targets name
+     * @param limiter enforces the rate limits of targets
      */
     public TargetAvailability(Ticker ticker, RateLimiter limiter) {
         this.ticker = ticker;
@@ -72,43 +71,42 @@
     }
 
     /**
-     * Takes the head of an answer to a request. A limit holds for as long as such answers name it; one that names what cannot be read
-     * leaves the limit as it is.
+     * Applies the response to a request. A response without a limit ends the target's limit; a malformed one leaves it unchanged.
      *
      * @param target the start of the target that has answered
-     * @param notice what the answer says
-     * @param askedAt when the request was sent, in milliseconds of the clock
+     * @param notice the notice of the response
+     * @param requestedAt the ticker time at which the request was sent
      */
-    public void takeAnswer(InstanceId target, TargetNotice notice, long askedAt) {
-        take(target, notice, askedAt);
-        if (notice.limit() == null && notice.unread() == null) {
-            limiter.applyStatement(target, new LimitStatement(null, askedAt, ticker.millis()));
+    public void takeAnswer(InstanceId target, TargetNotice notice, long requestedAt) {
+        take(target, notice, requestedAt);
+        if (notice.limit() == null && notice.malformed() == null) {
+            limiter.applyStatement(target, new LimitStatement(null, requestedAt, ticker.millis()));
         }
     }
 
     /**
-     * Takes what the head of any other answer says of its target: one to a probe or an order, or one that belongs to another request.
+     * Applies the notice of any other response, such as one to a probe or an order.
      *
-     * @param target the start of the target that was asked
-     * @param notice what the answer says
+     * @param target the target's start
+     * @param notice the notice of the response
      */
     public void take(InstanceId target, TargetNotice notice) {
         take(target, notice, UNKNOWN_TIME);
     }
 
-    private synchronized void take(InstanceId target, TargetNotice notice, long askedAt) {
-        if (notice.unread() != null) {
-            noteUnread(target, notice.unread());
+    private synchronized void take(InstanceId target, TargetNotice notice, long requestedAt) {
+        if (notice.malformed() != null) {
+            recordMalformed(target, notice.malformed());
         }
         if (notice.isDraining()) {
             TargetCondition c = condition(target);
             if (!c.isDraining()) {
                 LOG.infof("targets: %s is draining, nothing more is sent to it", target);
             }
-            c.drains();
+            c.markDraining();
         }
         if (notice.limit() != null) {
-            limiter.applyStatement(target, new LimitStatement(notice.limit(), askedAt, ticker.millis()));
+            limiter.applyStatement(target, new LimitStatement(notice.limit(), requestedAt, ticker.millis()));
         }
         if (notice.backoffMillis() > 0) {
             backOff(target, notice.backoffMillis());
@@ -121,15 +119,15 @@
         if (!c.isBackingOff(now)) {
             LOG.infof("targets: %s backs off for %d ms", target, millis);
         }
-        c.backsOff(now + millis + ROUNDING_MILLIS);
+        c.extendBackoff(now + millis + ROUNDING_MILLIS);
     }
 
-    private void noteUnread(InstanceId target, String text) {
+    private void recordMalformed(InstanceId target, String text) {
         unread++;
         long now = ticker.millis();
-        if (now - unreadLineAt >= UNREAD_LINE_MILLIS) {
-            unreadLineAt = now;
-            LOG.warnf("targets: an answer of %s says what is not understood: %s; %d so far", target, text, unread);
+        if (now - malformedLoggedAt >= MALFORMED_LOG_INTERVAL_MILLIS) {
+            malformedLoggedAt = now;
+            LOG.warnf("targets: malformed notice in a response of %s: %s; %d so far", target, text, unread);
         }
     }
 
@@ -138,10 +136,10 @@
     }
 
     /**
-     * Says whether a request may be sent to a target now.
+     * Returns whether a request may be sent to a target now.
      *
-     * @param target the start of the target
-     * @return true if it may
+     * @param target the target's start
+     * @return true if it may be sent
      */
     public synchronized boolean isAvailable(InstanceId target) {
         TargetCondition c = conditions.get(target);
@@ -150,10 +148,9 @@
     }
 
     /**
-     * Takes the right to send a request to a target now; asked right before it is sent. A rate limit binds all entries together, so a
-     * permit comes from the account that divides the limit, and is used up here, where no way to a target leads past.
+     * Checks whether a request may be sent to a target now and uses a permit; called immediately before the request is sent.
      *
-     * @param target the start of the target
+     * @param target the target's start
      * @return true if it may be sent
      */
     public synchronized boolean tryRequest(InstanceId target) {
@@ -163,9 +160,9 @@
     }
 
     /**
-     * Takes the right to send a probe or an order to a target now.
+     * Checks whether a probe or an order may be sent to a target now and uses a permit.
      *
-     * @param target the start of the target
+     * @param target the target's start
      * @return true if it may be sent
      */
     public synchronized boolean tryControl(InstanceId target) {
@@ -173,30 +170,30 @@
     }
 
     /**
-     * Says whether a probe may be sent to a target now.
+     * Returns whether a probe may be sent to a target now, without using a permit.
      *
-     * @param target the start of the target
-     * @return true if it may
+     * @param target the target's start
+     * @return true if it may be sent
      */
     public synchronized boolean mayProbe(InstanceId target) {
         return !isBackingOff(target) && limiter.hasPermit(target);
     }
 
     /**
-     * Says whether a target has named a rate limit.
+     * Returns whether a target has a rate limit.
      *
-     * @param target the start of the target
-     * @return true if it has
+     * @param target the target's start
+     * @return true if it has a limit
      */
     public boolean isLimited(InstanceId target) {
         return limiter.isLimited(target);
     }
 
     /**
-     * Says whether a target backs off: it is sent neither requests nor probes nor orders.
+     * Returns whether a target backs off, during which it is sent no requests, probes or orders.
      *
-     * @param target the start of the target
-     * @return true as long as the time lasts that it has named to this instance
+     * @param target the target's start
+     * @return true until the backoff time that it has requested is over
      */
     public synchronized boolean isBackingOff(InstanceId target) {
         TargetCondition c = conditions.get(target);
@@ -204,10 +201,10 @@
     }
 
     /**
-     * Says whether a target has said that it drains.
+     * Returns whether a target has declared that it is draining.
      *
-     * @param target the start of the target
-     * @return true if it has
+     * @param target the target's start
+     * @return true if it is draining
      */
     public synchronized boolean isDraining(InstanceId target) {
         TargetCondition c = conditions.get(target);
@@ -215,10 +212,10 @@
     }
 
     /**
-     * Says for how long a target still backs off.
+     * Returns the remaining backoff time of a target.
      *
-     * @param target the start of the target
-     * @return milliseconds; zero if it does not
+     * @param target the target's start
+     * @return the time in milliseconds; zero if the target does not back off
      */
     public synchronized long backoffMillis(InstanceId target) {
         TargetCondition c = conditions.get(target);
@@ -226,19 +223,19 @@
     }
 
     /**
-     * Says when a request may be sent to a target.
+     * Returns the time until a request may be sent to a target, regardless of draining.
      *
-     * @param target the start of the target
-     * @return milliseconds; zero if it may be now, unless the target is draining
+     * @param target the target's start
+     * @return the time in milliseconds; zero if it may be sent now
      */
     public synchronized long retryMillis(InstanceId target) {
         return Math.max(backoffMillis(target), limiter.retryMillis(target));
     }
 
     /**
-     * Lists the targets that back off or drain, for people.
+     * Describes the targets that back off or drain, for diagnostics.
      *
-     * @return the condition of each, by target
+     * @return the descriptions by target
      */
     public synchronized Map<String, String> unavailable() {
         long now = ticker.millis();
@@ -254,9 +251,9 @@
     }
 
     /**
-     * Counts the targets that back off.
+     * Returns the number of targets that back off.
      *
-     * @return how many
+     * @return the number of targets
      */
     public synchronized int backingOff() {
         long now = ticker.millis();
@@ -265,9 +262,9 @@
     }
 
     /**
-     * Counts the targets that are draining.
+     * Returns the number of draining targets.
      *
-     * @return how many are remembered
+     * @return the number of targets
      */
     public synchronized int draining() {
         return (int)
@@ -275,9 +272,9 @@
     }
 
     /**
-     * Counts the answers that said of their target what is not understood.
+     * Returns the number of responses with a malformed notice.
      *
-     * @return how many
+     * @return the number of responses
      */
     public synchronized long unread() {
         return unread;
--- a/serving/src/main/java/org/hallwall/serving/availability/TargetCondition.java
+++ b/serving/src/main/java/org/hallwall/serving/availability/TargetCondition.java
@@ -18,13 +18,13 @@
  */
 package org.hallwall.serving.availability;
 
-/** Whether one start of a target backs off or drains; guarded by {@link TargetAvailability}. */
+/** The backoff and draining state of one start of a target; guarded by {@link TargetAvailability}. */
 final class TargetCondition {
 
     private boolean draining;
     private long backoffUntil;
 
-    void drains() {
+    void markDraining() {
         draining = true;
     }
 
@@ -32,8 +32,8 @@
         return draining;
     }
 
-    /** Takes a time to back off for; a shorter one does not shorten a longer one. */
-    void backsOff(long until) {
+    /** Extends the backoff; an earlier end has no effect. */
+    void extendBackoff(long until) {
         backoffUntil = Math.max(backoffUntil, until);
     }
 
@@ -45,7 +45,7 @@
         return !draining && !isBackingOff(now);
     }
 
-    /** Says for how long it still backs off, in milliseconds. */
+    /** Returns the remaining backoff time in milliseconds. */
     long backoffMillis(long now) {
         return Math.max(0, backoffUntil - now);
     }
--- a/serving/src/main/java/org/hallwall/serving/availability/TargetNotice.java
+++ b/serving/src/main/java/org/hallwall/serving/availability/TargetNotice.java
@@ -21,22 +21,22 @@
 import org.hallwall.serving.permit.RateLimit;
 
 /**
- * What an answer says of its target, whatever it says of the request.
+ * What a response declares about its target, independent of the result of the request.
  *
- * @param backoffMillis for how long the target backs off, in milliseconds; zero if it does not say so
- * @param isDraining whether the target is about to end
- * @param limit the rate limit that it names; null if it names none that can be read
- * @param unread what was said and not understood, cut short; null if there is nothing of that kind
+ * @param backoffMillis the requested backoff time in milliseconds; zero for none
+ * @param isDraining whether the target is about to shut down
+ * @param limit the declared rate limit; null if there is none or it is malformed
+ * @param malformed malformed values, truncated; null if there are none
  */
-public record TargetNotice(long backoffMillis, boolean isDraining, RateLimit limit, String unread) {
+public record TargetNotice(long backoffMillis, boolean isDraining, RateLimit limit, String malformed) {
 
-    /** Nothing is said. */
+    /** An empty notice. */
     public static final TargetNotice NONE = new TargetNotice(0, false, null, null);
 
     /**
-     * Creates the notice of a target that backs off.
+     * Creates the notice of a target that requests a backoff.
      *
-     * @param millis for how long, in milliseconds
+     * @param millis the backoff time in milliseconds
      * @return the notice
      */
     public static TargetNotice backoff(long millis) {
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Creates the notice of a target that is about to end.
+     * Creates the notice of a draining target.
      *
      * @return the notice
      */
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Creates the notice of a target that names a rate limit.
+     * Creates the notice of a target with a rate limit.
      *
      * @param limit the limit
      * @return the notice
@@ -63,14 +63,14 @@
     }
 
     /**
-     * Tells it for logs.
+     * Describes the notice, for logs.
      *
-     * @return text to go behind others; empty if nothing is said
+     * @return a suffix for a log line; empty if the notice is empty
      */
     public String describe() {
         return (backoffMillis > 0 ? ", backs off for " + backoffMillis + " ms" : "")
                 + (isDraining ? ", draining" : "")
                 + (limit != null ? ", names a rate limit of " + limit : "")
-                + (unread != null ? ", says " + unread : "");
+                + (malformed != null ? ", malformed: " + malformed : "");
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/availability/package-info.java
+++ b/serving/src/main/java/org/hallwall/serving/availability/package-info.java
@@ -17,10 +17,10 @@
  * under the License.
  */
 /**
- * Whether a target may be sent something now: the one place that knows, and that every way to a target asks.
+ * Availability of targets: backoff, draining and rate limits.
  *
- * <p>The way of a request: its candidates are the targets that are available ({@code TargetAvailability.isAvailable}); the send takes
- * the right to do so when a connection is there ({@code tryRequest}); the answer's {@code TargetNotice} goes back into the same
- * place. Probes and orders ask {@code tryControl}.
+ * <p>The candidates for a request are the available targets ({@code TargetAvailability.isAvailable}). Once a connection is established,
+ * {@code tryRequest} checks again and uses a permit. The response's {@code TargetNotice} updates the availability. Probes and orders use
+ * {@code tryControl}.
  */
 package org.hallwall.serving.availability;
--- a/serving/src/test/java/org/hallwall/serving/availability/BackoffSimulationRuns.java
+++ b/serving/src/test/java/org/hallwall/serving/availability/BackoffSimulationRuns.java
@@ -23,14 +23,14 @@
 import java.util.Locale;
 import java.util.logging.Level;
 
+import org.hallwall.serving.availability.SimulatedBackoffs.Fault;
 import org.hallwall.serving.availability.SimulatedBackoffs.Policy;
-import org.hallwall.serving.availability.SimulatedBackoffs.Trouble;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Many simulated days by hand, not part of the tests: {@code mvn -pl serving -am test -Dtest=BackoffSimulationRuns
- * -Dsurefire.failIfNoSpecifiedTests=false -Drests.days=100}. One line for each trouble and policy, on the same seeds from 1 on.
+ * Compares backoff policies over many seeds; started manually: {@code mvn -pl serving -am test -Dtest=BackoffSimulationRuns
+ * -Dsurefire.failIfNoSpecifiedTests=false -Drests.days=100}. All policies run on the same seeds, starting at 1.
  */
 class BackoffSimulationRuns {
 
@@ -39,39 +39,39 @@
     void policies(int entries, int targets, double load) {
         java.util.logging.Logger.getLogger("org.hallwall").setLevel(Level.SEVERE);
         int days = Integer.getInteger("rests.days", 10);
-        for (Trouble trouble : Trouble.values()) {
+        for (Fault fault : Fault.values()) {
             List<Double> before = new ArrayList<>();
             for (Policy policy : Policy.values()) {
                 long arrivals = 0;
-                long away = 0;
-                List<Double> unserved = new ArrayList<>();
+                long rejected = 0;
+                List<Double> failed = new ArrayList<>();
                 for (int seed = 1; seed <= days; seed++) {
-                    SimulatedBackoffs s = new SimulatedBackoffs(entries, targets, load, policy, trouble, seed).run();
+                    SimulatedBackoffs s = new SimulatedBackoffs(entries, targets, load, policy, fault, seed).run();
                     arrivals += s.arrivals();
-                    away += s.turnedAway();
-                    unserved.add(1 - (double) s.served() / s.requests());
+                    rejected += s.rejected();
+                    failed.add(1 - (double) s.served() / s.requests());
                 }
                 System.out.printf(
                         Locale.ROOT,
-                        "%d entries, %d targets, load %.2f, %-11s %-11s: %.2f in 100 arrivals turned away, %.3f in 100 requests not served%s%n",
+                        "%d entries, %d targets, load %.2f, %-11s %-11s: %.2f %% of arrivals rejected, %.3f %% of requests failed%s%n",
                         entries,
                         targets,
                         load,
-                        trouble,
+                        fault,
                         policy,
-                        100.0 * away / arrivals,
-                        100 * mean(unserved),
-                        before.isEmpty() ? "" : difference(before, unserved));
-                before = unserved;
+                        100.0 * rejected / arrivals,
+                        100 * mean(failed),
+                        before.isEmpty() ? "" : difference(before, failed));
+                before = failed;
             }
         }
     }
 
-    private static double mean(List<Double> all) {
-        return all.stream().mapToDouble(d -> d).average().orElse(0);
+    private static double mean(List<Double> values) {
+        return values.stream().mapToDouble(d -> d).average().orElse(0);
     }
 
-    /** The mean of the paired differences to the line before, with the interval that holds it in 95 of 100 cases. */
+    /** Formats the mean of the paired differences to the previous policy with its 95 % confidence interval. */
     private static String difference(List<Double> before, List<Double> after) {
         List<Double> d = new ArrayList<>();
         for (int i = 0; i < after.size(); i++) {
--- a/serving/src/test/java/org/hallwall/serving/availability/BackoffSimulationTest.java
+++ b/serving/src/test/java/org/hallwall/serving/availability/BackoffSimulationTest.java
@@ -18,35 +18,35 @@
  */
 package org.hallwall.serving.availability;
 
+import org.hallwall.serving.availability.SimulatedBackoffs.Fault;
 import org.hallwall.serving.availability.SimulatedBackoffs.Policy;
-import org.hallwall.serving.availability.SimulatedBackoffs.Trouble;
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The load of a fleet of which half turns away and backs off: what is sound has room for all, at under half of its slots. What a
- * target has asked for is kept whatever it costs; as long as there is room elsewhere it costs callers nothing.
+ * Simulates a fleet in which targets reject requests and back off: no request is sent during a backoff, and requests succeed while healthy
+ * targets have free slots.
  */
 class BackoffSimulationTest {
 
-    /** Of ten thousand requests at nine entries none should go unserved while half of the targets are sound. */
-    private static final double UNSERVED = 0.0001;
+    /** The maximum fraction of failed requests while half of the targets are healthy. */
+    private static final double MAX_FAILED = 0.0001;
 
     @ParameterizedTest
     @CsvSource({"1", "2", "3", "4", "5"})
-    void soundTargetsServeWhileOthersBackOff(long seed) {
-        SimulatedBackoffs s = new SimulatedBackoffs(9, 12, 0.45, Policy.OBEYED, Trouble.HALF_UNWELL, seed).run();
-        Assertions.assertEquals(0, s.whileBackingOff());
-        double unserved = 1 - (double) s.served() / s.requests();
-        Assertions.assertTrue(unserved <= UNSERVED, () -> unserved + " of all requests were not served");
+    void healthyTargetsServeWhileOthersBackOff(long seed) {
+        SimulatedBackoffs s = new SimulatedBackoffs(9, 12, 0.45, Policy.OBEYED, Fault.HALF_UNWELL, seed).run();
+        Assertions.assertEquals(0, s.sentDuringBackoff());
+        double failed = 1 - (double) s.served() / s.requests();
+        Assertions.assertTrue(failed <= MAX_FAILED, () -> failed + " of all requests failed");
     }
 
     @ParameterizedTest
     @CsvSource({"ALL_UNWELL, 0.45", "ALL_UNWELL, 0.8", "HALF_UNWELL, 0.8", "CROWD, 0.8"})
-    void nobodyIsAskedWhileItBacksOff(Trouble trouble, double load) {
-        SimulatedBackoffs s = new SimulatedBackoffs(9, 12, load, Policy.OBEYED, trouble, 1).run();
-        Assertions.assertTrue(s.turnedAway() > 0);
-        Assertions.assertEquals(0, s.whileBackingOff());
+    void noRequestIsSentDuringBackoff(Fault fault, double load) {
+        SimulatedBackoffs s = new SimulatedBackoffs(9, 12, load, Policy.OBEYED, fault, 1).run();
+        Assertions.assertTrue(s.rejected() > 0);
+        Assertions.assertEquals(0, s.sentDuringBackoff());
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/availability/NoticeReaderTest.java
+++ b/serving/src/test/java/org/hallwall/serving/availability/NoticeReaderTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What answers may say of their target, and what of it is obeyed. */
+/** Parsing of backoff times, draining and rate limits in responses. */
 class NoticeReaderTest {
 
     private static final InstanceId TARGET = new InstanceId("i-1/k");
@@ -41,7 +41,7 @@
         return reader.read(TARGET, status, all);
     }
 
-    /** Whatever cannot be read is no rest, and is told. */
+    /** Malformed values request no backoff and are reported. */
     @ParameterizedTest
     @CsvSource(
             delimiter = ';',
@@ -69,50 +69,50 @@
                 "3, soon; 3000; true",
                 "Wed, 21 Oct 2026 07:28:00 GMT; 0; true"
             })
-    void timesAreSeconds(String text, long millis, boolean unread) {
+    void backoffTimesAreSeconds(String text, long millis, boolean malformed) {
         TargetNotice n = read(503, "Retry-After", text);
         Assertions.assertEquals(millis, n.backoffMillis());
-        Assertions.assertEquals(unread, n.unread() != null, () -> "unread: " + n.unread());
+        Assertions.assertEquals(malformed, n.malformed() != null, () -> "malformed: " + n.malformed());
     }
 
     @Test
-    void ofTwoTimesTheLongerCounts() {
+    void longestBackoffTimeApplies() {
         Assertions.assertEquals(
                 4_000, read(503, "Retry-After", "4", "Retry-After", "2").backoffMillis());
     }
 
-    /** On other answers the time is a word to callers, or has no meaning. */
+    /** With other statuses {@code Retry-After} is meant for callers or has no meaning. */
     @ParameterizedTest
     @CsvSource({"503, 3000", "429, 3000", "200, 0", "301, 0", "404, 0", "500, 0", "502, 0"})
-    void onlyWhoTurnsAwayBacksOff(int status, long millis) {
+    void onlyRejectionsRequestBackoff(int status, long millis) {
         Assertions.assertEquals(millis, read(status, "Retry-After", "3").backoffMillis());
     }
 
     @ParameterizedTest
     @CsvSource({"200", "404", "500", "503"})
-    void whoDrainsSaysSoInAnyAnswer(int status) {
+    void anyResponseMayDeclareDraining(int status) {
         Assertions.assertTrue(read(status, "X-Leaving", "1").isDraining());
     }
 
     @ParameterizedTest
     @CsvSource({"0", "true", "2", "''", "11"})
-    void anotherWordIsNoWord(String text) {
+    void otherLeavingValuesAreMalformed(String text) {
         TargetNotice n = read(200, "X-Leaving", text);
         Assertions.assertFalse(n.isDraining());
-        Assertions.assertNotNull(n.unread());
+        Assertions.assertNotNull(n.malformed());
     }
 
-    /** An answer by another target at the same address says nothing of the one that was meant. */
+    /** A response of another target at the same address is ignored. */
     @ParameterizedTest
     @CsvSource({"i-1, true", "i-2, false", ", false"})
-    void theWordIsThatOfWhoAnswers(String answeredBy, boolean counts) {
+    void noticeOfAnotherTargetIsIgnored(String answeredBy, boolean counts) {
         TargetNotice n = answeredBy == null
                 ? read(421, "X-Leaving", "1")
                 : read(421, "X-Leaving", "1", "X-Answered-By", answeredBy);
         Assertions.assertEquals(counts, n.isDraining());
     }
 
-    /** A limit is a plain decimal number; of several the strictest counts, and what cannot be read limits nothing. */
+    /** A limit is a decimal number; the strictest one applies, and malformed values are ignored. */
     @ParameterizedTest
     @CsvSource(
             delimiter = ';',
@@ -134,28 +134,27 @@
                 "2/s; ; true",
                 "''; ; true",
             })
-    void rateLimitsArePlainDecimals(String text, Double perSecond, boolean unread) {
+    void rateLimitsArePlainDecimals(String text, Double perSecond, boolean malformed) {
         TargetNotice n = read(200, "X-Rate-Limit", text);
         Assertions.assertEquals(perSecond == null ? null : new RateLimit(perSecond), n.limit());
-        Assertions.assertEquals(unread, n.unread() != null, () -> "unread: " + n.unread());
+        Assertions.assertEquals(malformed, n.malformed() != null, () -> "malformed: " + n.malformed());
     }
 
-    /** A target in need may say so in any answer of its own. */
     @ParameterizedTest
     @CsvSource({"200", "404", "429", "500", "503"})
-    void anyAnswerMayNameALimit(int status) {
+    void anyResponseMayDeclareALimit(int status) {
         TargetNotice n = read(status, "X-Rate-Limit", "3", "X-Rate-Limit", "2", "Retry-After", "1");
         Assertions.assertEquals(new RateLimit(2), n.limit());
     }
 
     @Test
-    void whatIsNotUnderstoodIsCutShort() {
+    void malformedValuesAreTruncated() {
         Assertions.assertEquals(
-                40, read(503, "Retry-After", "x".repeat(10_000)).unread().length());
+                40, read(503, "Retry-After", "x".repeat(10_000)).malformed().length());
     }
 
     @Test
-    void mostAnswersSayNothing() {
+    void responseWithoutDeclarationsHasNoNotice() {
         Assertions.assertSame(TargetNotice.NONE, read(200, "Content-Type", "text/plain"));
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/availability/SimulatedBackoffs.java
+++ b/serving/src/test/java/org/hallwall/serving/availability/SimulatedBackoffs.java
@@ -26,30 +26,30 @@
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.serving.permit.RateLimiter;
 
-/** Entries before targets that turn away and back off, on a virtual clock; callers who are refused come back once, as told. */
+/** Entries and targets that reject requests and back off, on a virtual clock; rejected callers retry once. */
 final class SimulatedBackoffs {
 
-    /** What entries do about a target that has backed off. */
+    /** How entries treat a target that backs off. */
     enum Policy {
-        /** They go on asking it. */
+        /** They ignore the backoff. */
         IGNORED,
-        /** They leave it alone until its time is over: what the product does. */
+        /** They send nothing until the backoff ends; the production policy. */
         OBEYED,
-        /** The first request of each entry goes alone. */
+        /** As OBEYED; afterwards each entry sends a single request first. */
         FIRST_ALONE,
-        /** The first ones of several entries are spread too. */
+        /** As FIRST_ALONE; the first requests of the entries are spread over time. */
         SPREAD,
-        /** Besides, each entry tells the others, which then leave the target alone for what is left of the time. */
+        /** As SPREAD; entries also exchange backoffs. */
         TOLD
     }
 
-    /** Why targets turn away. */
-    enum Trouble {
-        /** Half of them are unwell for 8 s and turn away nine in ten. */
+    /** Why targets reject requests. */
+    enum Fault {
+        /** Half of the targets reject nine in ten requests for 8 s. */
         HALF_UNWELL,
-        /** All of them are, for 3 s. */
+        /** All targets reject nine in ten requests for 3 s. */
         ALL_UNWELL,
-        /** Twice as many callers come for 5 s, and whoever is full turns away. */
+        /** The load doubles for 5 s, and full targets reject requests. */
         CROWD
     }
 
@@ -59,57 +59,57 @@
     private static final long STEP_MILLIS = 5;
     private static final long EXCHANGE_MILLIS = 200;
     private static final long FIRST_EVENT_MILLIS = 80;
-    private static final long FIRST_WAITS_MILLIS = 1_000;
+    private static final long FIRST_TIMEOUT_MILLIS = 1_000;
     private static final int SPREAD_MILLIS_AN_ENTRY = 5;
-    private static final double TURNED_AWAY = 0.9;
-    private static final long LEAST_RUN_MILLIS = 500;
+    private static final double REJECTED_FRACTION = 0.9;
+    private static final long MIN_RUN_MILLIS = 500;
     private static final int RUN_SPREAD_MILLIS = 1_000;
-    private static final long TROUBLE_AT_MILLIS = 5_000;
+    private static final long FAULT_AT_MILLIS = 5_000;
     private static final long END_MILLIS = 30_000;
-    private static final long PATIENCE_MILLIS = 5_000;
-    private static final int MOST_ATTEMPTS = 4;
+    private static final long CALLER_TIMEOUT_MILLIS = 5_000;
+    private static final int MAX_ATTEMPTS = 4;
 
     private final Policy policy;
-    private final Trouble trouble;
+    private final Fault fault;
     private final double load;
     private final Random random;
     private final List<Entry> entries = new ArrayList<>();
     private final int[] running;
     private final int[] runningBefore;
-    private final boolean[] unwell;
+    private final boolean[] unhealthy;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private long now;
     private int arrivals;
-    private int turnedAway;
-    private int whileBackingOff;
+    private int rejected;
+    private int sentDuringBackoff;
     private int requests;
     private int served;
 
-    /** The load is the part of all slots that the usual callers take. */
-    SimulatedBackoffs(int entryCount, int targets, double load, Policy policy, Trouble trouble, long seed) {
+    /** Creates a simulation in which the base load uses the given fraction of all slots. */
+    SimulatedBackoffs(int entryCount, int targets, double load, Policy policy, Fault fault, long seed) {
         this.load = load;
         this.policy = policy;
-        this.trouble = trouble;
+        this.fault = fault;
         this.random = new Random(seed);
         this.running = new int[targets];
         this.runningBefore = new int[targets];
-        this.unwell = new boolean[targets];
+        this.unhealthy = new boolean[targets];
         for (int i = 0; i < entryCount; i++) {
             entries.add(new Entry());
         }
     }
 
     SimulatedBackoffs run() {
-        double perStep = load * running.length * SLOTS * STEP_MILLIS / (LEAST_RUN_MILLIS + RUN_SPREAD_MILLIS / 2.0);
+        double perStep = load * running.length * SLOTS * STEP_MILLIS / (MIN_RUN_MILLIS + RUN_SPREAD_MILLIS / 2.0);
         for (; now < END_MILLIS; now += STEP_MILLIS) {
             while (!events.isEmpty() && events.peek().at() <= now) {
                 events.poll().action().run();
             }
             if (now % EXCHANGE_MILLIS == 0) {
                 System.arraycopy(running, 0, runningBefore, 0, running.length);
-                trouble();
+                updateFaults();
             }
-            double expected = perStep * (isTrouble() && trouble == Trouble.CROWD ? 2 : 1);
+            double expected = perStep * (isFaultActive() && fault == Fault.CROWD ? 2 : 1);
             int count = (int) expected + (random.nextDouble() < expected % 1 ? 1 : 0);
             for (int i = 0; i < count; i++) {
                 requests++;
@@ -119,25 +119,25 @@
         return this;
     }
 
-    private boolean isTrouble() {
-        long lasts = trouble == Trouble.HALF_UNWELL ? 8_000 : trouble == Trouble.CROWD ? 5_000 : 3_000;
-        return now >= TROUBLE_AT_MILLIS && now < TROUBLE_AT_MILLIS + lasts;
+    private boolean isFaultActive() {
+        long duration = fault == Fault.HALF_UNWELL ? 8_000 : fault == Fault.CROWD ? 5_000 : 3_000;
+        return now >= FAULT_AT_MILLIS && now < FAULT_AT_MILLIS + duration;
     }
 
-    private void trouble() {
-        for (int t = 0; t < unwell.length; t++) {
-            boolean struck = trouble == Trouble.ALL_UNWELL || trouble == Trouble.HALF_UNWELL && t % 2 == 0;
-            unwell[t] = struck && isTrouble();
+    private void updateFaults() {
+        for (int t = 0; t < unhealthy.length; t++) {
+            boolean affected = fault == Fault.ALL_UNWELL || fault == Fault.HALF_UNWELL && t % 2 == 0;
+            unhealthy[t] = affected && isFaultActive();
         }
     }
 
     private void arrive(boolean first) {
         Entry e = entries.get(random.nextInt(entries.size()));
-        long told = e.serve();
-        if (told == 0) {
+        long retryMillis = e.serve();
+        if (retryMillis == 0) {
             served++;
         } else if (first) {
-            later(Math.min(told, PATIENCE_MILLIS / 3), () -> arrive(false));
+            later(Math.min(retryMillis, CALLER_TIMEOUT_MILLIS / 3), () -> arrive(false));
         }
     }
 
@@ -149,13 +149,13 @@
         return arrivals;
     }
 
-    /** Counts the arrivals at targets that had asked their sender for rest. */
-    int whileBackingOff() {
-        return whileBackingOff;
+    /** Returns the number of requests sent to targets during a backoff that their sender knew of. */
+    int sentDuringBackoff() {
+        return sentDuringBackoff;
     }
 
-    int turnedAway() {
-        return turnedAway;
+    int rejected() {
+        return rejected;
     }
 
     int requests() {
@@ -180,10 +180,10 @@
         private final long[] waitsUntil = new long[running.length];
         private final boolean[] firstAlone = new boolean[running.length];
 
-        /** Gives zero if a target takes the request, else when its caller is told to come back, in milliseconds. */
+        /** Returns zero if a target accepts the request, otherwise the retry delay of its caller in milliseconds. */
         long serve() {
             boolean[] tried = new boolean[running.length];
-            for (int attempt = 0; attempt < MOST_ATTEMPTS; attempt++) {
+            for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
                 int t = choose(tried);
                 if (t < 0) {
                     return Math.max(250, earliest());
@@ -197,21 +197,21 @@
         }
 
         private int choose(boolean[] tried) {
-            List<Integer> left = new ArrayList<>();
+            List<Integer> candidates = new ArrayList<>();
             for (int t = 0; t < tried.length; t++) {
-                if (!tried[t] && wants(t)) {
-                    left.add(t);
+                if (!tried[t] && maySend(t)) {
+                    candidates.add(t);
                 }
             }
-            if (left.isEmpty()) {
+            if (candidates.isEmpty()) {
                 return -1;
             }
-            int one = left.get(random.nextInt(left.size()));
-            int other = left.get(random.nextInt(left.size()));
+            int one = candidates.get(random.nextInt(candidates.size()));
+            int other = candidates.get(random.nextInt(candidates.size()));
             return runningBefore[one] <= runningBefore[other] ? one : other;
         }
 
-        private boolean wants(int t) {
+        private boolean maySend(int t) {
             return policy == Policy.IGNORED || availability.isAvailable(id(t)) && now >= waitsUntil[t];
         }
 
@@ -226,37 +226,37 @@
         private boolean send(int t) {
             boolean first = firstAlone[t];
             if (first) {
-                waitsUntil[t] = now + FIRST_WAITS_MILLIS;
+                waitsUntil[t] = now + FIRST_TIMEOUT_MILLIS;
             }
             arrivals++;
             if (!availability.isAvailable(id(t))) {
-                whileBackingOff++;
+                sentDuringBackoff++;
             }
             boolean full = running[t] >= SLOTS + QUEUE;
-            if (full || unwell[t] && random.nextDouble() < TURNED_AWAY) {
-                turnedAway++;
-                turnAway(t);
+            if (full || unhealthy[t] && random.nextDouble() < REJECTED_FRACTION) {
+                rejected++;
+                reject(t);
                 return false;
             }
             running[t]++;
             later(FIRST_EVENT_MILLIS, () -> firstAlone[t] &= !first);
             later(FIRST_EVENT_MILLIS, () -> waitsUntil[t] = first ? now : waitsUntil[t]);
-            later(LEAST_RUN_MILLIS + random.nextInt(RUN_SPREAD_MILLIS), () -> running[t]--);
+            later(MIN_RUN_MILLIS + random.nextInt(RUN_SPREAD_MILLIS), () -> running[t]--);
             return true;
         }
 
-        private void turnAway(int t) {
+        private void reject(int t) {
             availability.take(id(t), TargetNotice.backoff(BACKOFF_MILLIS));
             firstAlone[t] = policy.ordinal() >= Policy.FIRST_ALONE.ordinal();
             if (policy.ordinal() >= Policy.SPREAD.ordinal()) {
                 waitsUntil[t] = now + BACKOFF_MILLIS + random.nextInt(SPREAD_MILLIS_AN_ENTRY * entries.size());
             }
             if (policy == Policy.TOLD) {
-                tell(t);
+                shareBackoff(t);
             }
         }
 
-        private void tell(int t) {
+        private void shareBackoff(int t) {
             long until = now + BACKOFF_MILLIS;
             later(
                     EXCHANGE_MILLIS,
--- a/serving/src/test/java/org/hallwall/serving/availability/TargetAvailabilityTest.java
+++ b/serving/src/test/java/org/hallwall/serving/availability/TargetAvailabilityTest.java
@@ -25,23 +25,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** When a target that has asked for rest, or said that it leaves, may be asked again. */
+/** When a target that backs off or drains is available again. */
 class TargetAvailabilityTest {
 
     private static final InstanceId TARGET = new InstanceId("i-1/a");
     private static final InstanceId NEXT_START = new InstanceId("i-1/b");
-    private static final TargetNotice LEAVES = TargetNotice.draining();
+    private static final TargetNotice DRAINING = TargetNotice.draining();
 
     private long now = 1_000;
     private final TargetAvailability availability = new TargetAvailability(() -> now, RateLimiter.UNLIMITED);
 
-    private void rest(long millis) {
+    private void backOff(long millis) {
         availability.take(TARGET, TargetNotice.backoff(millis));
     }
 
     @Test
-    void nothingIsWantedUntilTheRestIsOver() {
-        rest(3_000);
+    void targetIsUnavailableUntilTheBackoffEnds() {
+        backOff(3_000);
         now += 3_000;
         Assertions.assertFalse(availability.isAvailable(TARGET));
         Assertions.assertTrue(availability.isBackingOff(TARGET));
@@ -52,58 +52,58 @@
 
     @ParameterizedTest
     @CsvSource({"3000, 1000, 3001", "1000, 3000, 3001", "2000, 2000, 2001"})
-    void aShorterRestDoesNotShortenALongerOne(long one, long other, long until) {
-        rest(one);
-        rest(other);
+    void shorterBackoffDoesNotShortenALongerOne(long one, long other, long until) {
+        backOff(one);
+        backOff(other);
         Assertions.assertEquals(until, availability.backoffMillis(TARGET));
     }
 
-    /** What a later answer asks for counts from that answer on. */
+    /** A backoff time counts from the response that requests it. */
     @Test
-    void aLaterRestGoesOn() {
-        rest(2_000);
+    void laterBackoffExtendsTheEarlierOne() {
+        backOff(2_000);
         now += 1_500;
-        rest(1_000);
+        backOff(1_000);
         Assertions.assertEquals(1_001, availability.backoffMillis(TARGET));
     }
 
     @Test
-    void whoLeavesWantsNothingMoreForGood() {
-        availability.take(TARGET, LEAVES);
-        rest(10);
+    void drainingIsFinal() {
+        availability.take(TARGET, DRAINING);
+        backOff(10);
         now += 86_400_000;
         Assertions.assertFalse(availability.isAvailable(TARGET));
         Assertions.assertTrue(availability.isDraining(TARGET));
     }
 
     @Test
-    void anotherStartHasSaidNothing() {
-        availability.take(TARGET, LEAVES);
-        rest(10_000);
+    void otherStartsAreNotAffected() {
+        availability.take(TARGET, DRAINING);
+        backOff(10_000);
         Assertions.assertTrue(availability.isAvailable(NEXT_START));
         Assertions.assertFalse(availability.isBackingOff(NEXT_START));
     }
 
-    /** An answer without a word on its target changes nothing, also when it comes later. */
+    /** A later response without a notice changes nothing. */
     @Test
-    void aLaterAnswerThatSaysNothingDoesNotEndTheRest() {
-        rest(1_000);
+    void laterResponseWithoutNoticeDoesNotEndTheBackoff() {
+        backOff(1_000);
         availability.take(TARGET, TargetNotice.NONE);
         Assertions.assertFalse(availability.isAvailable(TARGET));
     }
 
     @Test
-    void whatIsRememberedIsBounded() {
+    void stateIsBounded() {
         for (int i = 0; i < 10_000; i++) {
-            availability.take(new InstanceId("i-" + i), LEAVES);
+            availability.take(new InstanceId("i-" + i), DRAINING);
         }
         Assertions.assertEquals(4_096, availability.draining());
     }
 
     @Test
-    void peopleAreTold() {
-        availability.take(NEXT_START, LEAVES);
-        rest(2_000);
+    void unavailableTargetsAreDescribed() {
+        availability.take(NEXT_START, DRAINING);
+        backOff(2_000);
         availability.take(TARGET, new TargetNotice(0, false, null, "soon"));
         Assertions.assertEquals(
                 "{i-1/a=backing off for 2001 ms, i-1/b=draining}",
