--- a/serving/src/main/java/org/hallwall/serving/target/FeedFollower.java
+++ b/serving/src/main/java/org/hallwall/serving/target/FeedFollower.java
@@ -31,16 +31,16 @@
 import reactor.core.Disposable;
 import reactor.core.publisher.Mono;
 
-/** Follows the feed of one control instance by polls, one outstanding at a time. */
+/** Follows the feed of one control instance by long polling, with one outstanding poll at a time. */
 public final class FeedFollower implements Closeable {
 
     private static final Logger LOG = Logger.getLogger(FeedFollower.class);
-    /** How long a control instance holds a poll when it has no news; bounds the age of heartbeats at the controller. */
-    private static final long WAIT_MILLIS = 400;
-    /** When an answer counts as lost: the wait and a slow link. */
-    private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(WAIT_MILLIS + 1_500);
-    /** The pause after a failed poll. */
-    private static final Duration PAUSE = Duration.ofMillis(100);
+    /** How long a control instance holds a poll without changes; bounds the delay of heartbeats. */
+    private static final long POLL_WAIT_MILLIS = 400;
+    /** Allows for network delays in addition to the wait. */
+    private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(POLL_WAIT_MILLIS + 1_500);
+
+    private static final Duration RETRY_DELAY = Duration.ofMillis(100);
 
     private final String name;
     private final PeerLink link;
@@ -52,21 +52,21 @@
     private String boot = "";
     private long after;
     private long heardAfter;
-    private volatile boolean inTouch;
-    private volatile boolean everInTouch;
+    private volatile boolean connected;
+    private volatile boolean everConnected;
     private volatile BooleanSupplier stopped = () -> false;
     private volatile Disposable current;
 
     /**
-     * Creates a follower; {@link #start()} starts it.
+     * Creates a follower; call {@link #start()} to begin polling.
      *
-     * @param name the control instance, for logs
+     * @param name the name of the control instance, for logs
      * @param link the link to it
-     * @param wantsHeartbeats whether heartbeats without changes are wanted
-     * @param configurationVersion gives the version that is known already
-     * @param suspectsVersion gives the version of the suspects that is known already
-     * @param streams gives the streams in progress by model
-     * @param consumer takes the news; called in order
+     * @param wantsHeartbeats whether to request heartbeats without changes
+     * @param configurationVersion supplies the known version of the configuration
+     * @param suspectsVersion supplies the known version of the suspects
+     * @param streams supplies the streams in progress by model
+     * @param consumer receives the answers in order
      */
     public FeedFollower(
             String name,
@@ -85,27 +85,27 @@
         this.consumer = consumer;
     }
 
-    /** Starts to follow. */
+    /** Starts polling. */
     public void start() {
-        next();
+        poll();
     }
 
     /**
-     * Says whether the last poll was answered.
+     * Returns whether the last poll was answered.
      *
-     * @return true if it was
+     * @return true if it was answered
      */
     public boolean isInTouch() {
-        return inTouch;
+        return connected;
     }
 
     /**
-     * Says whether any poll was ever answered.
+     * Returns whether any poll has been answered.
      *
-     * @return true if one was
+     * @return true if any has
      */
     public boolean wasInTouch() {
-        return everInTouch;
+        return everConnected;
     }
 
     @Override
@@ -117,7 +117,7 @@
         }
     }
 
-    private void next() {
+    private void poll() {
         if (stopped.getAsBoolean()) {
             return;
         }
@@ -126,40 +126,41 @@
                 after,
                 wantsHeartbeats ? heardAfter : -1,
                 configurationVersion.getAsLong(),
-                WAIT_MILLIS,
+                POLL_WAIT_MILLIS,
                 streams.get(),
                 suspectsVersion.getAsLong());
-        current = link.call(poll, ANSWER_TIMEOUT).cast(FeedMessage.News.class).subscribe(this::take, this::lost);
+        current =
+                link.call(poll, ANSWER_TIMEOUT).cast(FeedMessage.News.class).subscribe(this::onAnswer, this::onFailure);
     }
 
-    private void take(FeedMessage.News news) {
-        if (!inTouch) {
-            LOG.infof("feed: in touch with control instance %s, configuration %d", name, news.configurationVersion());
+    private void onAnswer(FeedMessage.News news) {
+        if (!connected) {
+            LOG.infof("feed: connected to control instance %s, configuration %d", name, news.configurationVersion());
         }
-        inTouch = true;
-        everInTouch = true;
+        connected = true;
+        everConnected = true;
         try {
             consumer.accept(news);
             boot = news.boot();
             after = news.next();
             heardAfter = news.heardNext();
         } catch (RuntimeException e) {
-            LOG.errorf(e, "feed: news of %s cannot be taken", name);
-            pause();
+            LOG.errorf(e, "feed: an answer of control instance %s cannot be processed", name);
+            scheduleRetry();
             return;
         }
-        next();
+        poll();
     }
 
-    private void lost(Throwable e) {
-        if (inTouch) {
-            LOG.warnf("feed: lost control instance %s: %s", name, e.getMessage());
+    private void onFailure(Throwable e) {
+        if (connected) {
+            LOG.warnf("feed: lost connection to control instance %s: %s", name, e.getMessage());
         }
-        inTouch = false;
-        pause();
+        connected = false;
+        scheduleRetry();
     }
 
-    private void pause() {
-        current = Mono.delay(PAUSE).subscribe(t -> next());
+    private void scheduleRetry() {
+        current = Mono.delay(RETRY_DELAY).subscribe(t -> poll());
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/target/FeedMessage.java
+++ b/serving/src/main/java/org/hallwall/serving/target/FeedMessage.java
@@ -36,9 +36,9 @@
 public sealed interface FeedMessage extends PeerMessage {
 
     /**
-     * Registers the kinds of message.
+     * Registers the message types.
      *
-     * @param kinds where to register them
+     * @param kinds the registry
      */
     static void register(PeerKinds kinds) {
         kinds.add(60, Poll.class)
@@ -60,15 +60,15 @@
     }
 
     /**
-     * Asks for news; it is answered when there are some or the wait is over.
+     * Polls for changes; answered when there are any or the wait is over.
      *
-     * @param boot the feed's start that {@code after} belongs to
-     * @param after the last change that the asker has
-     * @param heardAfter the last heartbeat that the asker has; negative if it wants none
-     * @param configurationVersion the version that the asker has
-     * @param waitMillis the longest wait, in milliseconds
-     * @param streams the asker's streams in progress by model
-     * @param suspectsVersion the version of the suspects that the asker has
+     * @param boot the id of the feed that {@code after} refers to; a feed gets a new id when it restarts
+     * @param after the number of the last change that the sender has
+     * @param heardAfter the number of the last heartbeat that the sender has; negative to receive none
+     * @param configurationVersion the version of the configuration that the sender has
+     * @param waitMillis the maximum wait in milliseconds
+     * @param streams the sender's streams in progress by model
+     * @param suspectsVersion the version of the suspects that the sender has
      */
     record Poll(
             String boot,
@@ -83,17 +83,17 @@
     /**
      * Answers a poll.
      *
-     * @param boot the feed's start
-     * @param next the last change that this answer covers
+     * @param boot the id of the feed
+     * @param next the number of the last change in this answer
      * @param records the targets that changed
-     * @param lost all targets that the group controller of this instance holds for dead, or null if that has not changed
-     * @param heardNext the last heartbeat that this answer covers
-     * @param heard the targets that were heard, whether they changed or not
-     * @param configurationVersion the version in force here
-     * @param configuration the compressed configuration if the asker has an older one, or null
+     * @param lost all targets that the group controller of this instance considers dead, or null if unchanged
+     * @param heardNext the number of the last heartbeat in this answer
+     * @param heard the targets that sent a heartbeat, changed or not
+     * @param configurationVersion the version of the configuration in force
+     * @param configuration the compressed configuration if the receiver has an older one, or null
      * @param members the control instances
-     * @param entries how many entries have asked lately
-     * @param mostEntries the most entries that there were lately; zero if this instance cannot know yet
+     * @param entries the number of entries that have polled recently
+     * @param mostEntries the recent maximum number of entries; zero if unknown
      * @param suspects the changes of the suspects, or null if there are none
      */
     record News(
@@ -112,45 +112,62 @@
             implements FeedMessage {
 
         /**
-         * Completes an answer.
+         * Copies the answer with the parts that do not come from the feed.
          *
-         * @param version the version in force here
-         * @param packed the compressed configuration, or null
-         * @param all the control instances
-         * @param asking how many entries have asked lately
-         * @param most the most entries that there were lately, or zero
-         * @param crashing the changes of the suspects, or null
-         * @return the whole answer
+         * @param version the version of the configuration in force
+         * @param compressed the compressed configuration, or null
+         * @param controlMembers the control instances
+         * @param entryCount the number of entries that have polled recently
+         * @param maxEntryCount the recent maximum number of entries, or zero
+         * @param suspectUpdate the changes of the suspects, or null
+         * @return the complete answer
          */
         public News with(
-                long version, byte[] packed, List<ControlMember> all, int asking, int most, SuspectNews crashing) {
-            return new News(boot, next, records, lost, heardNext, heard, version, packed, all, asking, most, crashing);
+                long version,
+                byte[] compressed,
+                List<ControlMember> controlMembers,
+                int entryCount,
+                int maxEntryCount,
+                SuspectNews suspectUpdate) {
+            return new News(
+                    boot,
+                    next,
+                    records,
+                    lost,
+                    heardNext,
+                    heard,
+                    version,
+                    compressed,
+                    controlMembers,
+                    entryCount,
+                    maxEntryCount,
+                    suspectUpdate);
         }
     }
 
     /**
-     * Asks for the list of control instances.
+     * Requests the list of control instances.
      *
-     * @param from the asker
+     * @param from the sender
      */
     record MembersQuestion(InstanceId from) implements FeedMessage {}
 
     /**
      * Answers with the list of control instances.
      *
-     * @param members the members; empty if this instance doesn't know them
+     * @param members the control instances; empty if unknown
      */
     record Members(List<ControlMember> members) implements FeedMessage {}
 
     /**
-     * Asks to become a control instance that counts.
+     * Requests to join as a voting control instance.
      *
-     * @param from the asker
+     * @param from the sender
      */
     record JoinRequest(InstanceId from) implements FeedMessage {}
 
     /**
-     * Reports a head whose streams stand still and asks whether its group has lost a member.
+     * Reports a head whose streams have stalled and requests a check of its group.
      *
      * @param head the head
      * @param group the group's name
@@ -162,95 +179,95 @@
      * Answers the report of a stalled head.
      *
      * @param group the group's name
-     * @param liveness what the group controller found; unknown from an instance that does not control groups
-     * @param suspects the members that did not answer the controller; empty unless some are suspected
+     * @param liveness the result; {@link GroupLiveness#UNKNOWN} from an instance that does not control groups
+     * @param suspects the members that did not answer the controller if {@link GroupLiveness#SUSPECTED}, else empty
      */
     record HeadFinding(String group, GroupLiveness liveness, List<InstanceId> suspects) implements FeedMessage {}
 
     /**
-     * Tells the group controller whether an entry reaches the members that it suspects; answered by a {@link HeadFinding}.
+     * Reports to the group controller which suspected members an entry reaches; answered by a {@link HeadFinding}.
      *
      * @param group the group's name
-     * @param reached those that answered the entry
-     * @param silent those that did not
+     * @param reached the members that answered the entry
+     * @param silent the members that did not
      */
     record SuspectFinding(String group, List<InstanceId> reached, List<InstanceId> silent) implements FeedMessage {}
 
     /**
-     * Reports an entry's requests in progress and asks for those of all entries.
+     * Reports an entry's requests in progress and requests the totals of all entries.
      *
-     * @param running how many by target
+     * @param running the number of requests by target
      */
     record LoadReport(Map<String, Integer> running) implements FeedMessage {}
 
     /**
      * Answers a load report.
      *
-     * @param controls whether the answering instance controls the groups; only that one keeps sums
+     * @param controls whether the answering instance controls the groups; only that one keeps totals
      * @param running the requests in progress of all entries by target
-     * @param limits the rate limits that targets have named to any entry
+     * @param limits the rate limits that targets have declared to any entry
      */
     record LoadSums(boolean controls, Map<String, Integer> running, List<LimitReport> limits) implements FeedMessage {
 
-        /** Takes the sums of an instance of an earlier version, which tells no limits, for those of a fleet without limits. */
+        /** Replaces the missing limits of an earlier version by an empty list. */
         public LoadSums {
             limits = limits == null ? List.of() : limits;
         }
     }
 
     /**
-     * Asks for permits to send requests to targets with a rate limit.
+     * Requests permits for rate-limited targets.
      *
-     * @param asks what the entry knows and wants, by target
+     * @param asks the requests by target
      */
     record PermitRequest(List<PermitAsk> asks) implements FeedMessage {}
 
     /**
      * Answers a request for permits.
      *
-     * @param controls whether the answering instance controls the groups; only that one keeps accounts
-     * @param grants what the entry gets, by target
+     * @param controls whether the answering instance controls the groups; only that one grants permits
+     * @param grants the grants by target
      */
     record Permits(boolean controls, List<PermitGrant> grants) implements FeedMessage {}
 
     /**
-     * Reports targets that have ended with what they ran, and suspects that a target has answered.
+     * Reports crashed targets with the requests they were running, and suspects that a target has answered.
      *
-     * @param ended the targets
-     * @param survived the suspects
+     * @param ended the crashed targets
+     * @param survived the answered suspects
      */
     record CrashReport(List<EndedTarget> ended, List<RequestDigest> survived) implements FeedMessage {}
 
     /**
-     * Answers a report of ended targets.
+     * Answers a crash report.
      *
-     * @param taken whether it lasts; if not, the asker keeps it and asks again
-     * @param version the version of the suspects that holds it
+     * @param taken whether the report is committed; if not, the sender retries
+     * @param version the version of the suspects that includes the report
      */
     record CrashReportTaken(boolean taken, long version) implements FeedMessage {}
 
     /**
-     * Asks whether a request that is held back may be tried.
+     * Requests a trial of a held request.
      *
      * @param digest the request
      */
     record TrialQuestion(RequestDigest digest) implements FeedMessage {}
 
     /**
-     * Answers whether a request that is held back may be tried.
+     * Answers a request for a trial.
      *
-     * @param leads whether the answering instance leads; only that one decides
-     * @param granted whether the asker may send it to one target, once
-     * @param againMillis when it may be asked again, in milliseconds
+     * @param leads whether the answering instance is the leader; only the leader decides
+     * @param granted whether the request may be sent to one target, once
+     * @param againMillis the time until the next trial may be requested, in milliseconds
      */
     record TrialAnswer(boolean leads, boolean granted, long againMillis) implements FeedMessage {}
 
     /**
      * A control instance.
      *
-     * @param instance its name among the voters
-     * @param peer where it takes peer messages
-     * @param api where it takes the operator's calls
+     * @param instance its id as a voter
+     * @param peer the address for peer messages
+     * @param api the address of the operator API
      */
     record ControlMember(InstanceId instance, NetAddress peer, NetAddress api) {}
 }
--- a/serving/src/main/java/org/hallwall/serving/target/GroupLiveness.java
+++ b/serving/src/main/java/org/hallwall/serving/target/GroupLiveness.java
@@ -18,14 +18,14 @@
  */
 package org.hallwall.serving.target;
 
-/** What the group controller found when it asked all members of a group whether they answer. */
+/** The result of the group controller's probes of all members of a group. */
 public enum GroupLiveness {
-    /** All members answered: if the head stands still, it works long on what it was given. */
+    /** All members answered; a stalled head is still processing. */
     WORKING,
-    /** A member did not answer: the head stands still until it breaks. */
+    /** A member did not answer; the head stays stalled until its group breaks. */
     LOST,
-    /** Members did not answer the controller, which may be cut off from them: the entry that asked should ask them itself. */
+    /** Members did not answer, but the controller may be partitioned from them; the entry should probe them as well. */
     SUSPECTED,
-    /** Nobody could be asked, or the group is not known. */
+    /** The members could not be probed, or the group is unknown. */
     UNKNOWN
 }
--- a/serving/src/main/java/org/hallwall/serving/target/GroupMark.java
+++ b/serving/src/main/java/org/hallwall/serving/target/GroupMark.java
@@ -19,19 +19,19 @@
 package org.hallwall.serving.target;
 
 /**
- * The place of a target in a group, as it announces it.
+ * A target's membership in a group, as it announces it.
  *
  * @param name the group's name
- * @param epoch the number of the order that made the group; a later one is higher
- * @param rank the place; zero is the head
- * @param state what the target says of it
+ * @param epoch the number of the order that formed the group; increases with every order
+ * @param rank the target's rank in the group; zero is the head
+ * @param state the announced state
  */
 public record GroupMark(String name, long epoch, int rank, GroupState state) {
 
     /**
-     * Says whether another mark is of the same group.
+     * Returns whether another membership is in the same group.
      *
-     * @param other the other mark; may be null
+     * @param other the other membership; may be null
      * @return true if name and epoch are equal
      */
     public boolean sameGroup(GroupMark other) {
--- a/serving/src/main/java/org/hallwall/serving/target/GroupState.java
+++ b/serving/src/main/java/org/hallwall/serving/target/GroupState.java
@@ -18,17 +18,17 @@
  */
 package org.hallwall.serving.target;
 
-/** What a target says of its place in a group. */
+/** The state of a group member, as it announces it. */
 public enum GroupState {
-    /** It loads the model or waits for it. */
+    /** Loading the model, or waiting for it. */
     JOINING(false, false),
-    /** It has joined and waits. */
+    /** Joined and idle. */
     READY(true, false),
-    /** It is a head that serves, or is about to. */
+    /** A head that serves requests or is about to. */
     OPEN(true, true),
-    /** It is a head that finishes its work. */
+    /** A head that finishes its requests. */
     CLOSING(true, true),
-    /** It is a head whose group has lost a member. */
+    /** A head whose group has lost a member. */
     BROKEN(false, false);
 
     private final boolean joined;
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Says whether the target has been ready in its group.
+     * Returns whether the target has joined its group.
      *
      * @return true if it has joined
      */
@@ -49,9 +49,9 @@
     }
 
     /**
-     * Says whether a head in this state keeps its members from joining another group.
+     * Returns whether a head in this state prevents its members from joining another group.
      *
-     * @return true if they must not be joined elsewhere
+     * @return true if the members must stay in the group
      */
     public boolean holdsMembers() {
         return holdsMembers;
--- a/serving/src/main/java/org/hallwall/serving/target/LatestStarts.java
+++ b/serving/src/main/java/org/hallwall/serving/target/LatestStarts.java
@@ -23,29 +23,29 @@
 
 import org.hallwall.core.id.InstanceId;
 
-/** The latest start of each target that was heard of, by its name. */
+/** The latest known start of each target, by name. */
 final class LatestStarts {
 
     private final Map<String, InstanceId> latest = new HashMap<>();
 
-    /** Says whether a later start of the same target is known. */
-    boolean isPast(InstanceId id) {
+    /** Returns whether a later start of the same target is known. */
+    boolean isSuperseded(InstanceId id) {
         InstanceId known = latest.get(StartedTarget.name(id));
         return known != null && StartedTarget.start(known) > StartedTarget.start(id);
     }
 
-    /** Notes a start that is not past, and gives the one that it replaces, or null. */
-    InstanceId note(InstanceId id) {
-        InstanceId before = latest.put(StartedTarget.name(id), id);
-        return id.equals(before) ? null : before;
+    /** Records the latest start of a target and returns the earlier one that it replaces, or null. */
+    InstanceId update(InstanceId id) {
+        InstanceId previous = latest.put(StartedTarget.name(id), id);
+        return id.equals(previous) ? null : previous;
     }
 
-    /** Gives the latest start of a target, or null. */
-    InstanceId of(String name) {
+    /** Returns the latest start of a target, or null. */
+    InstanceId get(String name) {
         return latest.get(name);
     }
 
-    void forget(InstanceId id) {
+    void remove(InstanceId id) {
         latest.remove(StartedTarget.name(id), id);
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/target/StartedTarget.java
+++ b/serving/src/main/java/org/hallwall/serving/target/StartedTarget.java
@@ -21,49 +21,49 @@
 import org.hallwall.core.id.InstanceId;
 
 /**
- * The id of one start of a target. A target may start again under its name, with nothing of what it had; its name and its start
- * together name what is remembered of it: its load, its pauses, its orders, its place in a group.
+ * Ids that identify one start of a target: its name and start time. A restarted target keeps its name but none of its state, so load,
+ * backoff, orders and group membership are tracked by this id.
  */
 public final class StartedTarget {
 
-    private static final char BETWEEN = '/';
+    private static final char SEPARATOR = '/';
     private static final int RADIX = 36;
 
     private StartedTarget() {}
 
     /**
-     * Makes an id.
+     * Creates an id.
      *
-     * @param name the target's name; without a slash
-     * @param startMillis when it started, in milliseconds since 1970; zero if it does not say so
+     * @param name the target's name, without a slash
+     * @param startMillis the start time in milliseconds since the epoch; zero if unknown
      * @return the id
      */
     public static InstanceId id(String name, long startMillis) {
-        if (name.indexOf(BETWEEN) >= 0) {
-            throw new IllegalArgumentException("a target's name has no " + BETWEEN);
+        if (name.indexOf(SEPARATOR) >= 0) {
+            throw new IllegalArgumentException("the target name must not contain " + SEPARATOR);
         }
-        return new InstanceId(startMillis == 0 ? name : name + BETWEEN + Long.toString(startMillis, RADIX));
+        return new InstanceId(startMillis == 0 ? name : name + SEPARATOR + Long.toString(startMillis, RADIX));
     }
 
     /**
-     * Gives the name of a target.
+     * Returns the name of a target.
      *
      * @param id the id of one of its starts
-     * @return the name, as the target calls itself
+     * @return the target's name
      */
     public static String name(InstanceId id) {
-        int at = id.value().lastIndexOf(BETWEEN);
-        return at < 0 ? id.value() : id.value().substring(0, at);
+        int separator = id.value().lastIndexOf(SEPARATOR);
+        return separator < 0 ? id.value() : id.value().substring(0, separator);
     }
 
     /**
-     * Gives the start of a target.
+     * Returns the start time of a target.
      *
      * @param id the id
-     * @return milliseconds since 1970; zero if it is not known
+     * @return the start time in milliseconds since the epoch; zero if unknown
      */
     public static long start(InstanceId id) {
-        int at = id.value().lastIndexOf(BETWEEN);
-        return at < 0 ? 0 : Long.parseLong(id.value().substring(at + 1), RADIX);
+        int separator = id.value().lastIndexOf(SEPARATOR);
+        return separator < 0 ? 0 : Long.parseLong(id.value().substring(separator + 1), RADIX);
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/target/TargetDirectory.java
+++ b/serving/src/main/java/org/hallwall/serving/target/TargetDirectory.java
@@ -28,14 +28,14 @@
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.time.Ticker;
 
-/** All targets, merged from the feeds of several control instances; the later announcement of a target counts. */
+/** All known targets, merged from the feeds of the control instances; the latest announcement of a target applies. */
 public final class TargetDirectory {
 
-    /** How long a target that has said that it ends stays known, in milliseconds; longer than any late announcement. */
-    private static final long FORGET_MILLIS = 90_000;
+    /** How long a target is kept after its shutdown, so that late announcements are recognised. */
+    private static final long ENDED_RETENTION_MILLIS = 90_000;
 
-    /** How long a target that is silent stays known, in milliseconds; entries hear of changes only. */
-    private static final long SILENT_MILLIS = 86_400_000;
+    /** How long a serving target is kept without an update; entries receive changes only. */
+    private static final long SERVING_RETENTION_MILLIS = 86_400_000;
 
     private final Ticker ticker;
     private final Map<InstanceId, KnownTarget> targets = new HashMap<>();
@@ -52,39 +52,40 @@
     }
 
     /**
-     * Sets who is told of each change.
+     * Sets the listener for changes.
      *
-     * @param listener takes the new record
+     * @param listener receives each new record
      */
     public void onChange(Consumer<TargetRecord> listener) {
         this.listener = listener;
     }
 
     /**
-     * Takes a record from a feed.
+     * Applies a record from a feed, unless a later one is known.
      *
      * @param record the record
      */
     public void take(TargetRecord record) {
         synchronized (this) {
             KnownTarget known = targets.get(record.instance());
-            boolean late = known != null && record.sequence() <= known.record().sequence();
-            if (late || starts.isPast(record.instance())) {
+            boolean outdated =
+                    known != null && record.sequence() <= known.record().sequence();
+            if (outdated || starts.isSuperseded(record.instance())) {
                 return;
             }
-            replace(starts.note(record.instance()));
-            String last = known == null ? null : known.lastModel();
+            markReplaced(starts.update(record.instance()));
+            String lastModel = known == null ? null : known.lastModel();
             targets.put(
                     record.instance(),
-                    new KnownTarget(record, record.model() == null ? last : record.model(), ticker.millis()));
+                    new KnownTarget(record, record.model() == null ? lastModel : record.model(), ticker.millis()));
         }
         listener.accept(record);
     }
 
-    private void replace(InstanceId earlier) {
+    private void markReplaced(InstanceId earlier) {
         KnownTarget known = earlier == null ? null : targets.get(earlier);
         if (known != null) {
-            targets.put(earlier, new KnownTarget(known.record().replaced(), known.lastModel(), ticker.millis()));
+            targets.put(earlier, new KnownTarget(known.record().asReplaced(), known.lastModel(), ticker.millis()));
         }
     }
 
@@ -95,12 +96,12 @@
      * @return its last record, or null
      */
     public synchronized TargetRecord findNamed(String name) {
-        InstanceId id = starts.of(name);
+        InstanceId id = starts.get(name);
         return id == null ? null : find(id);
     }
 
     /**
-     * Notes that a target was heard.
+     * Records a heartbeat of a target.
      *
      * @param instance the target
      */
@@ -123,29 +124,30 @@
     }
 
     /**
-     * Lists all targets and forgets those not heard for long.
+     * Removes expired targets and returns the others.
      *
-     * @return the targets
+     * @return the known targets
      */
     public synchronized Collection<KnownTarget> list() {
         long now = ticker.millis();
         targets.values().removeIf(k -> {
-            boolean forgotten = now - k.heardAt() > (k.record().isServing() ? SILENT_MILLIS : FORGET_MILLIS);
-            if (forgotten) {
-                starts.forget(k.record().instance());
+            boolean expired =
+                    now - k.heardAt() > (k.record().isServing() ? SERVING_RETENTION_MILLIS : ENDED_RETENTION_MILLIS);
+            if (expired) {
+                starts.remove(k.record().instance());
             }
-            return forgotten;
+            return expired;
         });
         List<KnownTarget> out = new ArrayList<>(targets.values());
         return out;
     }
 
     /**
-     * A target and when it was heard.
+     * A known target.
      *
      * @param record its last record
-     * @param lastModel the model that it announced last; an engine without a group announces none, and still has it
-     * @param heardAt the clock in milliseconds
+     * @param lastModel the last announced model; an engine without a group announces none but still holds it
+     * @param heardAt the ticker time of its last record or heartbeat
      */
     public record KnownTarget(TargetRecord record, String lastModel, long heardAt) {}
 }
--- a/serving/src/main/java/org/hallwall/serving/target/TargetFeed.java
+++ b/serving/src/main/java/org/hallwall/serving/target/TargetFeed.java
@@ -33,18 +33,18 @@
 import reactor.core.publisher.MonoSink;
 
 /**
- * What one control instance has heard from targets itself, numbered so that others can follow it.
+ * The announcements that one control instance has received from targets, numbered so that other instances can follow them.
  *
- * <p>A change wakes all who wait. A heartbeat without a change wakes nobody; it travels with the next answer.
+ * <p>A change completes all waiting polls. A heartbeat without a change is sent with the next answer.
  */
 public final class TargetFeed {
 
-    /** How long a target that is gone stays known, so that late announcements of it are recognised, in milliseconds. */
-    private static final long KEEP_GONE_MILLIS = 60_000;
+    /** How long a target is kept after its last announcement, so that late announcements are recognised. */
+    private static final long RETENTION_MILLIS = 60_000;
 
     private final Ticker ticker;
     private final String boot = Long.toHexString(ThreadLocalRandom.current().nextLong() | 1L);
-    private final Map<InstanceId, Place> places = new HashMap<>();
+    private final Map<InstanceId, Announcement> announcements = new HashMap<>();
     private final LatestStarts starts = new LatestStarts();
     private final List<MonoSink<Boolean>> waiting = new ArrayList<>();
     private Set<InstanceId> lost = Set.of();
@@ -62,51 +62,52 @@
     }
 
     /**
-     * Takes an announcement.
+     * Applies an announcement.
      *
-     * @param record what the target announced
-     * @return true if it is news; false if it is late or repeats what is known
+     * @param record the announced record
+     * @return true if it is a change; false if it is outdated or unchanged
      */
     public boolean announce(TargetRecord record) {
-        List<MonoSink<Boolean>> woken;
+        List<MonoSink<Boolean>> waiters;
         synchronized (this) {
-            Place p = places.get(record.instance());
+            Announcement p = announcements.get(record.instance());
             if (p != null && (record.sequence() <= p.record.sequence() || p.isGone())
-                    || starts.isPast(record.instance())) {
+                    || starts.isSuperseded(record.instance())) {
                 return false;
             }
-            replace(starts.note(record.instance()));
-            Place fresh = new Place(record, p == null ? 0 : p.change, ++heartbeats, ticker.millis());
-            places.put(record.instance(), fresh);
-            if (p != null && record.tellsTheSame(p.record)) {
+            markReplaced(starts.update(record.instance()));
+            Announcement updated = new Announcement(record, p == null ? 0 : p.change, ++heartbeats, ticker.millis());
+            announcements.put(record.instance(), updated);
+            if (p != null && record.equalsIgnoringSequence(p.record)) {
                 return false;
             }
-            fresh.change = ++changes;
-            forgetGone();
-            woken = takeWaiting();
+            updated.change = ++changes;
+            removeExpired();
+            waiters = drainWaiting();
         }
-        woken.forEach(s -> s.success(true));
+        waiters.forEach(s -> s.success(true));
         return true;
     }
 
-    /** What was heard of an earlier start is over, and followers are told so. */
-    private void replace(InstanceId earlier) {
-        Place p = earlier == null ? null : places.get(earlier);
+    /** Publishes the end of an earlier start of the target. */
+    private void markReplaced(InstanceId earlier) {
+        Announcement p = earlier == null ? null : announcements.get(earlier);
         if (p != null && !p.isGone()) {
-            places.put(earlier, new Place(p.record.replaced(), ++changes, ++heartbeats, ticker.millis()));
+            announcements.put(
+                    earlier, new Announcement(p.record.asReplaced(), ++changes, ++heartbeats, ticker.millis()));
         }
     }
 
     /**
-     * Takes a target's word that it ends.
+     * Records that a target shuts down.
      *
      * @param instance the target
-     * @param known the last record known from elsewhere, or null
+     * @param known the last record from other feeds, or null
      */
     public void leave(InstanceId instance, TargetRecord known) {
         TargetRecord last;
         synchronized (this) {
-            Place p = places.get(instance);
+            Announcement p = announcements.get(instance);
             last = p == null ? known : p.record;
         }
         if (last != null) {
@@ -115,39 +116,39 @@
     }
 
     /**
-     * Marks which targets the group controller of this instance holds for dead; a target that is heard again is no longer marked.
+     * Sets the targets that the group controller of this instance considers dead.
      *
-     * @param targets all that are held for dead now
+     * @param targets all targets that are considered dead now
      */
     public void markLost(Set<InstanceId> targets) {
-        List<MonoSink<Boolean>> woken;
+        List<MonoSink<Boolean>> waiters;
         synchronized (this) {
             if (targets.equals(lost)) {
                 return;
             }
             lost = Set.copyOf(targets);
             lostChange = ++changes;
-            woken = takeWaiting();
+            waiters = drainWaiting();
         }
-        woken.forEach(s -> s.success(true));
+        waiters.forEach(s -> s.success(true));
     }
 
-    /** Wakes all who wait, because something besides targets has changed. */
+    /** Completes all waiting polls after a change of something other than targets. */
     public void wake() {
-        List<MonoSink<Boolean>> woken;
+        List<MonoSink<Boolean>> waiters;
         synchronized (this) {
-            woken = takeWaiting();
+            waiters = drainWaiting();
         }
-        woken.forEach(s -> s.success(true));
+        waiters.forEach(s -> s.success(true));
     }
 
     /**
-     * Waits until there is news.
+     * Waits until there are changes for a poll.
      *
-     * @param poll what the asker has
-     * @param configurationVersion the version in force here
-     * @param suspectsVersion the version of the suspects here
-     * @return the end of the wait
+     * @param poll the poll
+     * @param configurationVersion the current version of the configuration
+     * @param suspectsVersion the current version of the suspects
+     * @return true when there are changes, false when the wait is over
      */
     public Mono<Boolean> await(FeedMessage.Poll poll, long configurationVersion, long suspectsVersion) {
         return Mono.<Boolean>create(sink -> {
@@ -159,9 +160,9 @@
     }
 
     /**
-     * Gives the changes after a number.
+     * Returns the changes since a poll's version.
      *
-     * @param poll what the asker has
+     * @param poll the poll
      * @return the changes and heartbeats
      */
     public synchronized FeedMessage.News news(FeedMessage.Poll poll) {
@@ -170,7 +171,7 @@
         long heardAfter = sameBoot ? poll.heardAfter() : Math.min(poll.heardAfter(), 0);
         List<TargetRecord> records = new ArrayList<>();
         List<InstanceId> heard = new ArrayList<>();
-        for (Place p : places.values()) {
+        for (Announcement p : announcements.values()) {
             if (p.change > after) {
                 records.add(p.record);
             }
@@ -200,33 +201,33 @@
         waiting.remove(sink);
     }
 
-    private List<MonoSink<Boolean>> takeWaiting() {
-        List<MonoSink<Boolean>> out = new ArrayList<>(waiting);
+    private List<MonoSink<Boolean>> drainWaiting() {
+        List<MonoSink<Boolean>> drained = new ArrayList<>(waiting);
         waiting.clear();
-        return out;
+        return drained;
     }
 
-    private void forgetGone() {
+    private void removeExpired() {
         long now = ticker.millis();
-        Iterator<Place> all = places.values().iterator();
+        Iterator<Announcement> all = announcements.values().iterator();
         while (all.hasNext()) {
-            Place p = all.next();
-            if (now - p.heardAt > KEEP_GONE_MILLIS) {
+            Announcement p = all.next();
+            if (now - p.heardAt > RETENTION_MILLIS) {
                 all.remove();
-                starts.forget(p.record.instance());
+                starts.remove(p.record.instance());
             }
         }
     }
 
-    /** What is known of one target. */
-    private static final class Place {
+    /** The last announcement of one target. */
+    private static final class Announcement {
 
         private final TargetRecord record;
         private final long heartbeat;
         private final long heardAt;
         private long change;
 
-        Place(TargetRecord record, long change, long heartbeat, long heardAt) {
+        Announcement(TargetRecord record, long change, long heartbeat, long heardAt) {
             this.record = record;
             this.change = change;
             this.heartbeat = heartbeat;
--- a/serving/src/main/java/org/hallwall/serving/target/TargetRecord.java
+++ b/serving/src/main/java/org/hallwall/serving/target/TargetRecord.java
@@ -24,19 +24,19 @@
 import org.hallwall.core.settings.NetAddress;
 
 /**
- * What a target has announced last.
+ * The last announcement of a target.
  *
  * @param instance the target and its start, see {@link StartedTarget}
- * @param sequence the number of the announcement; a later one is higher
- * @param service its service
- * @param address where it takes requests and orders
- * @param failureDomain its failure domain
- * @param slots how many requests it runs at once
+ * @param sequence the number of the announcement; increases with every announcement
+ * @param service the target's service
+ * @param address the address for requests and orders
+ * @param failureDomain the failure domain
+ * @param slots the number of requests that it runs concurrently
  * @param presence whether it serves, leaves or is gone
  * @param fabricDomain the fabric domain; null for a plain service
- * @param model the model that it holds; null if none
- * @param staged the models on its host
- * @param group its place in a group; null if it has none
+ * @param model the loaded model; null if none
+ * @param staged the models that are staged on its host
+ * @param group its group membership; null if it has none
  */
 public record TargetRecord(
         InstanceId instance,
@@ -51,25 +51,25 @@
         List<String> staged,
         GroupMark group) {
 
-    /** Whether a target takes new work. */
+    /** Whether a target accepts new requests. */
     public enum Presence {
-        /** It takes work. */
+        /** Accepts requests. */
         SERVING,
-        /** It finishes what it has. */
+        /** Finishes its requests and accepts no new ones. */
         LEAVING,
-        /** It has said that it ends. */
+        /** Has announced its shutdown. */
         GONE,
-        /** It has started again under its name; of this start nothing is left. */
+        /** Has restarted; a later start of the target is known. */
         REPLACED;
 
-        /** Says whether nothing is heard of it any more. */
+        /** Returns whether this start has ended. */
         boolean isOver() {
             return this == GONE || this == REPLACED;
         }
     }
 
     /**
-     * Says whether the target takes new work.
+     * Returns whether the target accepts new requests.
      *
      * @return true if it does
      */
@@ -78,9 +78,9 @@
     }
 
     /**
-     * Says whether the target has ended, or has started again since.
+     * Returns whether the target has shut down or restarted.
      *
-     * @return true if it holds nothing any more
+     * @return true if this start has ended
      */
     public boolean isOver() {
         return presence.isOver();
@@ -99,21 +99,21 @@
     }
 
     /**
-     * Copies the record as that of a start that a later one has replaced.
+     * Copies the record for a start that a later one has replaced.
      *
-     * @return the copy, which nothing follows
+     * @return the copy, which no announcement supersedes
      */
-    TargetRecord replaced() {
+    TargetRecord asReplaced() {
         return with(Long.MAX_VALUE, Presence.REPLACED);
     }
 
     /**
-     * Says whether another record tells the same, whatever its sequence.
+     * Returns whether another record is equal except for its sequence.
      *
-     * @param other the other record
-     * @return true if nothing but the sequence differs
+     * @param other the other record; may be null
+     * @return true if only the sequence differs
      */
-    public boolean tellsTheSame(TargetRecord other) {
+    public boolean equalsIgnoringSequence(TargetRecord other) {
         return other != null && with(other.sequence(), presence).equals(other);
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/target/package-info.java
+++ b/serving/src/main/java/org/hallwall/serving/target/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** What targets announce, and how control instances pass it on. */
+/** Announcements of targets, and their distribution by the control instances. */
 package org.hallwall.serving.target;
--- a/serving/src/test/java/org/hallwall/serving/target/FeedMessageTest.java
+++ b/serving/src/test/java/org/hallwall/serving/target/FeedMessageTest.java
@@ -27,12 +27,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Messages of instances of an earlier version, during an upgrade. */
+/** Compatibility with messages of an earlier version. */
 class FeedMessageTest {
 
     @ParameterizedTest
     @ValueSource(strings = {"{\"controls\":true,\"running\":{\"i-1\":2}}", "{\"running\":{\"i-1\":2},\"limits\":null}"})
-    void sumsWithoutLimitsAreThoseOfAFleetWithoutLimits(String text) throws Exception {
+    void missingLimitsAreDecodedAsEmpty(String text) throws Exception {
         FeedMessage.LoadSums sums = Json.MAPPER.readValue(text, FeedMessage.LoadSums.class);
         Assertions.assertEquals(Map.of("i-1", 2), sums.running());
         Assertions.assertEquals(List.<LimitReport>of(), sums.limits());
--- a/serving/src/test/java/org/hallwall/serving/target/StartedTargetTest.java
+++ b/serving/src/test/java/org/hallwall/serving/target/StartedTargetTest.java
@@ -24,12 +24,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A target's id holds its name and its start, and gives both back. */
+/** Encoding of a target's name and start time in its id. */
 class StartedTargetTest {
 
     @ParameterizedTest
     @CsvSource({"i-7f3a91c2, 0, i-7f3a91c2", "i-7f3a91c2, 35, i-7f3a91c2/z", "i.a:b-c, 1296, i.a:b-c/100"})
-    void holdsNameAndStart(String name, long start, String text) {
+    void encodesNameAndStart(String name, long start, String text) {
         InstanceId id = StartedTarget.id(name, start);
         Assertions.assertEquals(start, StartedTarget.start(id));
         Assertions.assertEquals(name, StartedTarget.name(id));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aNameWithASlashIsNone() {
+    void nameWithASlashIsRejected() {
         Assertions.assertThrows(IllegalArgumentException.class, () -> StartedTarget.id("i-1/2", 0));
     }
 
@@ -46,12 +46,12 @@
         LatestStarts starts = new LatestStarts();
         InstanceId first = StartedTarget.id("i-1", 1_000);
         InstanceId second = StartedTarget.id("i-1", 2_000);
-        Assertions.assertNull(starts.note(first));
-        Assertions.assertNull(starts.note(first));
-        Assertions.assertEquals(first, starts.note(second));
-        Assertions.assertTrue(starts.isPast(first));
-        Assertions.assertFalse(starts.isPast(second));
-        starts.forget(first);
-        Assertions.assertEquals(second, starts.of("i-1"));
+        Assertions.assertNull(starts.update(first));
+        Assertions.assertNull(starts.update(first));
+        Assertions.assertEquals(first, starts.update(second));
+        Assertions.assertTrue(starts.isSuperseded(first));
+        Assertions.assertFalse(starts.isSuperseded(second));
+        starts.remove(first);
+        Assertions.assertEquals(second, starts.get("i-1"));
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/target/TargetFeedTest.java
+++ b/serving/src/test/java/org/hallwall/serving/target/TargetFeedTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import reactor.core.publisher.Mono;
 
-/** Changes wake those who wait; late announcements and repeats do not. */
+/** Only changes complete a waiting poll; outdated and repeated announcements do not. */
 class TargetFeedTest {
 
     private final TargetFeed feed = new TargetFeed(() -> 0);
@@ -55,13 +55,13 @@
 
     @ParameterizedTest
     @CsvSource({"1, SERVING, false", "2, SERVING, false", "3, SERVING, false", "3, LEAVING, true"})
-    void onlyLaterChangesAreNews(long sequence, TargetRecord.Presence presence, boolean news) {
+    void onlyLaterAnnouncementsAreChanges(long sequence, TargetRecord.Presence presence, boolean news) {
         feed.announce(record(2, TargetRecord.Presence.SERVING));
         Assertions.assertEquals(news, feed.announce(record(sequence, presence)));
     }
 
     @Test
-    void nothingFollowsTheEnd() {
+    void announcementsAfterShutdownAreIgnored() {
         feed.announce(record(2, TargetRecord.Presence.SERVING));
         feed.leave(new InstanceId("i-1"), null);
         Assertions.assertFalse(feed.announce(record(9, TargetRecord.Presence.SERVING)));
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aLeavingTargetWakesWhoWaits() {
+    void leavingTargetCompletesWaitingPolls() {
         feed.announce(record(1, TargetRecord.Presence.SERVING));
         FeedMessage.News first = feed.news(poll("", 0));
         Mono<Boolean> waiting =
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aHeartbeatTravelsWithoutWaking() {
+    void heartbeatDoesNotCompleteWaitingPolls() {
         feed.announce(record(1, TargetRecord.Presence.SERVING));
         FeedMessage.News first = feed.news(poll("", 0));
         Mono<Boolean> waiting =
@@ -99,20 +99,20 @@
     }
 
     @Test
-    void anotherBootStartsAnew() {
+    void unknownBootGetsAllTargets() {
         feed.announce(record(1, TargetRecord.Presence.SERVING));
         Assertions.assertEquals(1, feed.news(poll("another", 99)).records().size());
     }
 
     @Test
-    void aNewerConfigurationIsNews() {
+    void newerConfigurationCompletesThePoll() {
         FeedMessage.News first = feed.news(poll("", 0));
         Assertions.assertEquals(
                 Boolean.TRUE, feed.await(poll(first.boot(), first.next()), 5, 0).block(Duration.ofSeconds(5)));
     }
 
     @Test
-    void whatIsHeldForDeadIsToldOnceAndTakenBack() {
+    void lostTargetsAreSentOnceAndCleared() {
         FeedMessage.News first = feed.news(poll("", 0));
         feed.markLost(java.util.Set.of(new InstanceId("i-1")));
         FeedMessage.News second = feed.news(poll(first.boot(), first.next()));
