--- a/serving/src/main/java/org/hallwall/serving/target/GroupLiveness.java
+++ b/serving/src/main/java/org/hallwall/serving/target/GroupLiveness.java
@@ -20,11 +20,11 @@
 
 /** The result of the group controller's probes of all members of a group. */
 public enum GroupLiveness {
-    /** All members answered; a stalled head is still processing. */
+    /** All members answered, so a stalled head is still processing. */
     WORKING,
-    /** A member did not answer; the head stays stalled until its group breaks. */
+    /** A member did not answer, so the head stays stalled until its group breaks. */
     LOST,
-    /** Members did not answer, but the controller may be partitioned from them; the entry should probe them as well. */
+    /** Members did not answer, but the controller may be partitioned from them, so the entry should probe them as well. */
     SUSPECTED,
     /** The members could not be probed, or the group is unknown. */
     UNKNOWN
--- a/serving/src/main/java/org/hallwall/serving/target/TargetFeed.java
+++ b/serving/src/main/java/org/hallwall/serving/target/TargetFeed.java
@@ -70,15 +70,15 @@
     public boolean announce(TargetRecord record) {
         List<MonoSink<Boolean>> waiters;
         synchronized (this) {
-            Announcement p = announcements.get(record.instance());
-            if (p != null && (record.sequence() <= p.record.sequence() || p.isGone())
+            Announcement a = announcements.get(record.instance());
+            if (a != null && (record.sequence() <= a.record.sequence() || a.isGone())
                     || starts.isSuperseded(record.instance())) {
                 return false;
             }
             markReplaced(starts.update(record.instance()));
-            Announcement updated = new Announcement(record, p == null ? 0 : p.change, ++heartbeats, ticker.millis());
+            Announcement updated = new Announcement(record, a == null ? 0 : a.change, ++heartbeats, ticker.millis());
             announcements.put(record.instance(), updated);
-            if (p != null && record.equalsIgnoringSequence(p.record)) {
+            if (a != null && record.equalsIgnoringSequence(a.record)) {
                 return false;
             }
             updated.change = ++changes;
@@ -91,10 +91,10 @@
 
     /** Publishes the end of an earlier start of the target. */
     private void markReplaced(InstanceId earlier) {
-        Announcement p = earlier == null ? null : announcements.get(earlier);
-        if (p != null && !p.isGone()) {
+        Announcement a = earlier == null ? null : announcements.get(earlier);
+        if (a != null && !a.isGone()) {
             announcements.put(
-                    earlier, new Announcement(p.record.asReplaced(), ++changes, ++heartbeats, ticker.millis()));
+                    earlier, new Announcement(a.record.asReplaced(), ++changes, ++heartbeats, ticker.millis()));
         }
     }
 
@@ -107,8 +107,8 @@
     public void leave(InstanceId instance, TargetRecord known) {
         TargetRecord last;
         synchronized (this) {
-            Announcement p = announcements.get(instance);
-            last = p == null ? known : p.record;
+            Announcement a = announcements.get(instance);
+            last = a == null ? known : a.record;
         }
         if (last != null) {
             announce(last.with(Long.MAX_VALUE, TargetRecord.Presence.GONE));
@@ -171,12 +171,12 @@
         long heardAfter = sameBoot ? poll.heardAfter() : Math.min(poll.heardAfter(), 0);
         List<TargetRecord> records = new ArrayList<>();
         List<InstanceId> heard = new ArrayList<>();
-        for (Announcement p : announcements.values()) {
-            if (p.change > after) {
-                records.add(p.record);
+        for (Announcement a : announcements.values()) {
+            if (a.change > after) {
+                records.add(a.record);
             }
-            if (heardAfter >= 0 && p.heartbeat > heardAfter) {
-                heard.add(p.record.instance());
+            if (heardAfter >= 0 && a.heartbeat > heardAfter) {
+                heard.add(a.record.instance());
             }
         }
         List<InstanceId> dead = lostChange > after ? List.copyOf(lost) : null;
@@ -211,10 +211,10 @@
         long now = ticker.millis();
         Iterator<Announcement> all = announcements.values().iterator();
         while (all.hasNext()) {
-            Announcement p = all.next();
-            if (now - p.heardAt > RETENTION_MILLIS) {
+            Announcement a = all.next();
+            if (now - a.heardAt > RETENTION_MILLIS) {
                 all.remove();
-                starts.remove(p.record.instance());
+                starts.remove(a.record.instance());
             }
         }
     }
--- a/serving/src/test/java/org/hallwall/serving/availability/SimulatedBackoffs.java
+++ b/serving/src/test/java/org/hallwall/serving/availability/SimulatedBackoffs.java
@@ -60,7 +60,7 @@
     private static final long EXCHANGE_MILLIS = 200;
     private static final long FIRST_EVENT_MILLIS = 80;
     private static final long FIRST_TIMEOUT_MILLIS = 1_000;
-    private static final int SPREAD_MILLIS_AN_ENTRY = 5;
+    private static final int SPREAD_MILLIS_PER_ENTRY = 5;
     private static final double REJECTED_FRACTION = 0.9;
     private static final long MIN_RUN_MILLIS = 500;
     private static final int RUN_SPREAD_MILLIS = 1_000;
@@ -249,7 +249,7 @@
             availability.take(id(t), TargetNotice.backoff(BACKOFF_MILLIS));
             firstAlone[t] = policy.ordinal() >= Policy.FIRST_ALONE.ordinal();
             if (policy.ordinal() >= Policy.SPREAD.ordinal()) {
-                waitsUntil[t] = now + BACKOFF_MILLIS + random.nextInt(SPREAD_MILLIS_AN_ENTRY * entries.size());
+                waitsUntil[t] = now + BACKOFF_MILLIS + random.nextInt(SPREAD_MILLIS_PER_ENTRY * entries.size());
             }
             if (policy == Policy.TOLD) {
                 shareBackoff(t);
--- a/serving/src/test/java/org/hallwall/serving/permit/LimitStatementTest.java
+++ b/serving/src/test/java/org/hallwall/serving/permit/LimitStatementTest.java
@@ -25,8 +25,8 @@
 /** Precedence of statements in reordered responses. Limits of zero or less stand for none. */
 class LimitStatementTest {
 
-    private static LimitStatement statement(double perSecond, long askedAt, long heardAt) {
-        return new LimitStatement(perSecond <= 0 ? null : new RateLimit(perSecond), askedAt, heardAt);
+    private static LimitStatement statement(double perSecond, long requestedAt, long receivedAt) {
+        return new LimitStatement(perSecond <= 0 ? null : new RateLimit(perSecond), requestedAt, receivedAt);
     }
 
     @ParameterizedTest
@@ -43,9 +43,16 @@
         "2, 100, 200, 2, 90, 250, true",
     })
     void laterOrStricterStatementReplaces(
-            double known, long knownAsked, long knownHeard, double next, long asked, long heard, boolean replaces) {
+            double known,
+            long knownRequestedAt,
+            long knownReceivedAt,
+            double next,
+            long requestedAt,
+            long receivedAt,
+            boolean replaces) {
         Assertions.assertEquals(
-                replaces, statement(next, asked, heard).replaces(statement(known, knownAsked, knownHeard)));
+                replaces,
+                statement(next, requestedAt, receivedAt).replaces(statement(known, knownRequestedAt, knownReceivedAt)));
     }
 
     @ParameterizedTest
--- a/serving/src/test/java/org/hallwall/serving/permit/SimulatedFaults.java
+++ b/serving/src/test/java/org/hallwall/serving/permit/SimulatedFaults.java
@@ -25,7 +25,7 @@
 
     private static final double[] LIMITS = {-1, 0, 0.3, 1, 1.8, 2.2, 5, 12, 50};
     private static final int FAULTS = 12;
-    private static final long MOST_FAULT_MILLIS = 6_000;
+    private static final long MAX_FAULT_MILLIS = 6_000;
 
     private final SimulatedSystem system;
     private final Random random;
@@ -61,7 +61,7 @@
     }
 
     private void injectFault() {
-        long millis = 100 + (long) (random.nextDouble() * MOST_FAULT_MILLIS);
+        long millis = 100 + (long) (random.nextDouble() * MAX_FAULT_MILLIS);
         SimulatedEntry entry =
                 system.entries().get(random.nextInt(system.entries().size()));
         switch (random.nextInt(6)) {
