--- a/entry/src/main/java/org/hallwall/entry/claim/AnswerForm.java
+++ b/entry/src/main/java/org/hallwall/entry/claim/AnswerForm.java
@@ -23,33 +23,33 @@
 import reactor.core.publisher.Flux;
 
 /**
- * Turns the parts of an answer into what is kept, and back.
+ * Converts the parts of an answer to a {@link StoredAnswer} and back.
  *
  * @param <T> the type of the parts
  */
 public interface AnswerForm<T> {
 
     /**
-     * Says whether a part is the last one of a whole answer.
+     * Returns whether a part is the last one of a complete answer.
      *
      * @param part the part
-     * @return true if it is
+     * @return true if it is the last part
      */
     boolean isLast(T part);
 
     /**
-     * Makes what is kept.
+     * Encodes a complete answer for storage.
      *
-     * @param parts all parts of a whole answer
-     * @return what is kept
+     * @param parts all parts of the answer, in order
+     * @return the stored form
      */
     StoredAnswer store(List<T> parts);
 
     /**
-     * Makes the parts of an answer that was kept.
+     * Decodes a stored answer.
      *
-     * @param answer what was kept
-     * @return the parts
+     * @param answer the stored answer
+     * @return the parts, in order
      */
     Flux<T> restore(StoredAnswer answer);
 }
--- a/entry/src/main/java/org/hallwall/entry/claim/ClaimCoordinator.java
+++ b/entry/src/main/java/org/hallwall/entry/claim/ClaimCoordinator.java
@@ -35,16 +35,16 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** Claims keys for this entry at the entries that keep them. */
+/** Claims idempotency keys for this entry at the replicas of each key. */
 public final class ClaimCoordinator {
 
-    private static final int KEEPERS = 3;
-    private static final Duration ASK_TIMEOUT = Duration.ofMillis(400);
-    private static final Duration SETTLE_TIMEOUT = Duration.ofMillis(400);
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
-    private static final int MOST_TRIES = 5;
-    private static final long LEAST_PAUSE_MILLIS = 10;
-    private static final long MOST_PAUSE_MILLIS = 80;
+    private static final int REPLICAS = 3;
+    private static final Duration CLAIM_TIMEOUT = Duration.ofMillis(400);
+    private static final Duration COMPLETION_TIMEOUT = Duration.ofMillis(400);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
+    private static final int MAX_ATTEMPTS = 5;
+    private static final long MIN_BACKOFF_MILLIS = 10;
+    private static final long MAX_BACKOFF_MILLIS = 80;
 
     private final InstanceId self;
     private final ClaimStore store;
@@ -54,10 +54,10 @@
     /**
      * Creates the coordinator.
      *
-     * @param self this entry
-     * @param store the claims kept here
+     * @param self the id of this entry
+     * @param store the claims stored on this entry
      * @param peers the other entries of the failure domain
-     * @param ticker the clock
+     * @param ticker the monotonic clock
      */
     public ClaimCoordinator(InstanceId self, ClaimStore store, ClaimPeers peers, Ticker ticker) {
         this.self = self;
@@ -67,151 +67,158 @@
     }
 
     /**
-     * Claims a key.
+     * Claims a key at a quorum of its replicas.
      *
      * @param key the key
      * @param bodyHash the hash of the request
-     * @return the decision, or a {@link RefusalException}; nothing has been dispatched
+     * @return the decision, or a {@link RefusalException}; no request has been dispatched yet
      */
     public Mono<ClaimDecision> claim(ClaimKey key, String bodyHash) {
-        return claim(key, bodyHash, MOST_TRIES);
+        return claim(key, bodyHash, MAX_ATTEMPTS);
     }
 
-    private Mono<ClaimDecision> claim(ClaimKey key, String bodyHash, int triesLeft) {
+    private Mono<ClaimDecision> claim(ClaimKey key, String bodyHash, int attemptsLeft) {
         return Mono.defer(() -> {
             String claim = self + "/" + UUID.randomUUID();
-            List<InstanceId> keepers = keepers(key);
+            List<InstanceId> replicas = selectReplicas(key);
             ClaimMessage.Ask ask = new ClaimMessage.Ask(key.id(), key.mintedAt(), claim, bodyHash, self);
-            long until = ticker.millis() + ASK_TIMEOUT.toMillis();
-            return Flux.fromIterable(keepers)
-                    .flatMap(k -> ask(k, ask))
+            long deadline = ticker.millis() + CLAIM_TIMEOUT.toMillis();
+            return Flux.fromIterable(replicas)
+                    .flatMap(r -> requestGrant(r, ask))
                     .collectList()
-                    .flatMap(answers -> decide(key, ask, keepers, answers, until, triesLeft));
+                    .flatMap(answers -> decide(key, ask, replicas, answers, deadline, attemptsLeft));
         });
     }
 
     /**
-     * Ends a claim at all its keepers.
+     * Completes a claim at all its replicas.
      *
      * @param key the key
      * @param claim the id of the claim
-     * @param verdict how the request ended
-     * @param answer the whole answer; null if there is none
-     * @return the end of the call; it does not fail, as the keepers that were not reached keep the claim as running
+     * @param verdict the outcome of the request
+     * @param answer the complete answer; null if there is none
+     * @return completes without error; replicas that could not be reached still record the claim as running
      */
-    public Mono<Void> settle(ClaimKey key, String claim, Verdict verdict, StoredAnswer answer) {
+    public Mono<Void> complete(ClaimKey key, String claim, Verdict verdict, StoredAnswer answer) {
         ClaimMessage.Settle settle = new ClaimMessage.Settle(key.id(), claim, verdict, answer);
-        return Flux.fromIterable(keepers(key)).flatMap(k -> settleAt(k, settle)).then();
+        return Flux.fromIterable(selectReplicas(key))
+                .flatMap(r -> completeAt(r, settle))
+                .then();
     }
 
-    /** The keepers are picked from the configured entries, not from the live ones, so they never change hands. */
-    private List<InstanceId> keepers(ClaimKey key) {
+    /** Selects from the configured entries, not the live ones, so that the replicas of a key never change. */
+    private List<InstanceId> selectReplicas(ClaimKey key) {
         Set<InstanceId> all = new TreeSet<>(peers.others());
         all.add(self);
-        List<InstanceId> ranked = key.ranked(all);
-        return ranked.subList(0, Math.min(KEEPERS, ranked.size()));
+        List<InstanceId> ranked = key.rankByHash(all);
+        return ranked.subList(0, Math.min(REPLICAS, ranked.size()));
     }
 
-    private Mono<Answer> ask(InstanceId keeper, ClaimMessage.Ask ask) {
-        if (keeper.equals(self)) {
+    private Mono<Answer> requestGrant(InstanceId replica, ClaimMessage.Ask ask) {
+        if (replica.equals(self)) {
             return Mono.fromSupplier(() -> store.ask(ask));
         }
-        return peers.call(keeper, ask, ASK_TIMEOUT).cast(Answer.class).onErrorResume(e -> Mono.empty());
+        return peers.call(replica, ask, CLAIM_TIMEOUT).cast(Answer.class).onErrorResume(e -> Mono.empty());
     }
 
-    private Mono<Void> settleAt(InstanceId keeper, ClaimMessage.Settle settle) {
-        if (keeper.equals(self)) {
+    private Mono<Void> completeAt(InstanceId replica, ClaimMessage.Settle settle) {
+        if (replica.equals(self)) {
             return Mono.fromRunnable(() -> store.settle(settle));
         }
-        return peers.call(keeper, settle, SETTLE_TIMEOUT).then().onErrorResume(e -> Mono.empty());
+        return peers.call(replica, settle, COMPLETION_TIMEOUT).then().onErrorResume(e -> Mono.empty());
     }
 
     private Mono<ClaimDecision> decide(
             ClaimKey key,
             ClaimMessage.Ask ask,
-            List<InstanceId> keepers,
+            List<InstanceId> replicas,
             List<Answer> answers,
-            long until,
-            int triesLeft) {
-        int quorum = keepers.size() / 2 + 1;
-        int sure = 0;
+            long deadline,
+            int attemptsLeft) {
+        int quorum = replicas.size() / 2 + 1;
+        int grantedComplete = 0;
         int granted = 0;
-        List<ClaimRecord> known = new ArrayList<>();
+        List<ClaimRecord> existing = new ArrayList<>();
         for (Answer a : answers) {
-            sure += a.kind() == Answer.Kind.GRANTED ? 1 : 0;
+            grantedComplete += a.kind() == Answer.Kind.GRANTED ? 1 : 0;
             granted += a.kind() == Answer.Kind.GRANTED || a.kind() == Answer.Kind.GRANTED_UNSURE ? 1 : 0;
             if (a.kind() == Answer.Kind.KNOWN) {
-                known.add(a.known());
+                existing.add(a.known());
             }
         }
-        // A process that was frozen while it waited must not count grants that may have been forgotten since.
-        boolean late = ticker.millis() > until + ASK_TIMEOUT.toMillis();
-        if (sure >= quorum && !late) {
+        // After a long pause of this process, the replicas may have dropped the grants since they answered.
+        boolean late = ticker.millis() > deadline + CLAIM_TIMEOUT.toMillis();
+        if (grantedComplete >= quorum && !late) {
             return Mono.just(new ClaimDecision.Owned(ask.claim()));
         }
-        Mono<ClaimDecision> outcome = isUndecided(known, quorum) && triesLeft > 1
-                ? Mono.delay(randomPause()).then(claim(key, ask.bodyHash(), triesLeft - 1))
-                : notOwned(ask, known, granted >= quorum && !late);
-        return settle(key, ask.claim(), Verdict.NOT_RUN, null).then(outcome);
+        Mono<ClaimDecision> outcome = isSplit(existing, quorum) && attemptsLeft > 1
+                ? Mono.delay(randomBackoff()).then(claim(key, ask.bodyHash(), attemptsLeft - 1))
+                : resolveNotOwned(ask, existing, granted >= quorum && !late);
+        return complete(key, ask.claim(), Verdict.NOT_RUN, null).then(outcome);
     }
 
-    /** Several arrivals may have split the keepers; each has given its grants back, and one will win the next try. */
-    private static boolean isUndecided(List<ClaimRecord> known, int quorum) {
-        for (ClaimRecord r : known) {
-            long same = known.stream().filter(k -> k.claim().equals(r.claim())).count();
+    /** Returns whether concurrent claims split the replicas so that none has a quorum; each releases its grants and retries. */
+    private static boolean isSplit(List<ClaimRecord> existing, int quorum) {
+        for (ClaimRecord r : existing) {
+            long same =
+                    existing.stream().filter(k -> k.claim().equals(r.claim())).count();
             if (r.ended() || same >= quorum) {
                 return false;
             }
         }
-        return !known.isEmpty();
+        return !existing.isEmpty();
     }
 
-    private static Duration randomPause() {
-        return Duration.ofMillis(ThreadLocalRandom.current().nextLong(LEAST_PAUSE_MILLIS, MOST_PAUSE_MILLIS));
+    private static Duration randomBackoff() {
+        return Duration.ofMillis(ThreadLocalRandom.current().nextLong(MIN_BACKOFF_MILLIS, MAX_BACKOFF_MILLIS));
     }
 
-    private Mono<ClaimDecision> notOwned(ClaimMessage.Ask ask, List<ClaimRecord> known, boolean unsure) {
-        if (!known.isEmpty()) {
-            return fromKnown(ask, mostTelling(known));
+    private Mono<ClaimDecision> resolveNotOwned(
+            ClaimMessage.Ask ask, List<ClaimRecord> existing, boolean historyIncomplete) {
+        if (!existing.isEmpty()) {
+            return resolveExisting(ask, mostAdvanced(existing));
         }
-        if (unsure) {
+        if (historyIncomplete) {
             return refuse(
                     ProblemType.OUTCOME_UNKNOWN,
                     Verdict.MAY_HAVE_RUN,
-                    "entries were lost, and the key may have been used before; a new key made by hallwall is safe");
+                    "entries restarted, and the key may have been used before; retry with a new key issued by hallwall");
         }
         return refuse(
-                ProblemType.CLAIM_UNAVAILABLE, Verdict.NOT_RUN, "too few entries that keep the key can be reached");
+                ProblemType.CLAIM_UNAVAILABLE,
+                Verdict.NOT_RUN,
+                "fewer than a quorum of the replicas of the key can be reached");
     }
 
-    /** An ended record tells more than a running one, and one with an answer tells most. */
-    private static ClaimRecord mostTelling(List<ClaimRecord> known) {
-        ClaimRecord best = known.get(0);
-        for (ClaimRecord r : known) {
-            boolean better = r.answer() != null && best.answer() == null || r.ended() && !best.ended();
-            best = better ? r : best;
+    /** Prefers a record with an answer, then one that has ended, then one that is running. */
+    private static ClaimRecord mostAdvanced(List<ClaimRecord> existing) {
+        ClaimRecord result = existing.get(0);
+        for (ClaimRecord r : existing) {
+            boolean better = r.answer() != null && result.answer() == null || r.ended() && !result.ended();
+            result = better ? r : result;
         }
-        return best;
+        return result;
     }
 
-    private Mono<ClaimDecision> fromKnown(ClaimMessage.Ask ask, ClaimRecord known) {
-        if (!known.bodyHash().equals(ask.bodyHash())) {
-            return refuse(ProblemType.KEY_REUSED, Verdict.NOT_RUN, "the key was used with another request");
+    private Mono<ClaimDecision> resolveExisting(ClaimMessage.Ask ask, ClaimRecord existing) {
+        if (!existing.bodyHash().equals(ask.bodyHash())) {
+            return refuse(ProblemType.KEY_REUSED, Verdict.NOT_RUN, "the key was already used with a different request");
         }
-        if (known.answer() != null) {
-            return Mono.just(new ClaimDecision.Stored(known.answer()));
+        if (existing.answer() != null) {
+            return Mono.just(new ClaimDecision.Completed(existing.answer()));
         }
-        if (!known.ended()) {
-            return Mono.just(new ClaimDecision.Elsewhere(known.owner()));
+        if (!existing.ended()) {
+            return Mono.just(new ClaimDecision.Redirect(existing.owner()));
         }
-        String detail = known.verdict() == Verdict.RAN
-                ? "the request ran, but its answer is no longer kept"
+        String detail = existing.verdict() == Verdict.RAN
+                ? "the request ran, but its answer is no longer stored"
                 : "the request may have run, and its outcome is unknown";
-        return refuse(ProblemType.OUTCOME_UNKNOWN, known.verdict(), detail);
+        return refuse(ProblemType.OUTCOME_UNKNOWN, existing.verdict(), detail);
     }
 
     private static <T> Mono<T> refuse(ProblemType type, Verdict verdict, String detail) {
-        Duration wait = verdict == Verdict.NOT_RUN && type != ProblemType.KEY_REUSED ? COME_BACK : Duration.ZERO;
-        return Mono.error(new RefusalException(type, verdict, detail, wait));
+        Duration retryAfter =
+                verdict == Verdict.NOT_RUN && type != ProblemType.KEY_REUSED ? RETRY_AFTER : Duration.ZERO;
+        return Mono.error(new RefusalException(type, verdict, detail, retryAfter));
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/claim/ClaimDecision.java
+++ b/entry/src/main/java/org/hallwall/entry/claim/ClaimDecision.java
@@ -20,27 +20,27 @@
 
 import org.hallwall.core.id.InstanceId;
 
-/** What becomes of a request with a key. */
+/** The result of claiming an idempotency key: how its request is to be handled. */
 public sealed interface ClaimDecision {
 
     /**
-     * The key is claimed; the request is to be run here.
+     * This entry owns the claim and must run the request.
      *
      * @param claim the id of the claim
      */
     record Owned(String claim) implements ClaimDecision {}
 
     /**
-     * The request has ended, and its answer is kept.
+     * The request has already completed, and its answer is stored.
      *
-     * @param answer the answer
+     * @param answer the stored answer
      */
-    record Stored(StoredAnswer answer) implements ClaimDecision {}
+    record Completed(StoredAnswer answer) implements ClaimDecision {}
 
     /**
-     * Another entry runs the request.
+     * The request is running on the entry that owns the claim.
      *
-     * @param owner the entry
+     * @param owner the entry that owns the claim; may be this entry
      */
-    record Elsewhere(InstanceId owner) implements ClaimDecision {}
+    record Redirect(InstanceId owner) implements ClaimDecision {}
 }
--- a/entry/src/main/java/org/hallwall/entry/claim/ClaimKey.java
+++ b/entry/src/main/java/org/hallwall/entry/claim/ClaimKey.java
@@ -34,42 +34,42 @@
  * An idempotency key of a workspace.
  *
  * @param id the hash of the workspace and the caller's key
- * @param mintedIn the failure domain whose entry made the key; null if the caller made it
- * @param mintedAt when it was made, in milliseconds since 1970; zero if the caller made it
+ * @param mintedIn the failure domain whose entry issued the key; null if the caller chose it
+ * @param mintedAt when the key was issued, in milliseconds since the epoch; zero if the caller chose it
  */
 public record ClaimKey(String id, FailureDomainId mintedIn, long mintedAt) {
 
     private static final String PREFIX = "hw1";
     private static final String SEPARATOR = "~";
-    private static final int PARTS = 4;
-    private static final int ID_CHARS = 32;
+    private static final int PART_COUNT = 4;
+    private static final int ID_LENGTH = 32;
 
     /**
-     * Reads a caller's key.
+     * Parses the key of a request.
      *
      * @param workspace the workspace
      * @param text the key as the caller sent it
      * @return the key
      */
     public static ClaimKey of(WorkspaceId workspace, String text) {
-        String id = DigestUtils.sha256Hex(workspace + "\n" + text).substring(0, ID_CHARS);
+        String id = DigestUtils.sha256Hex(workspace + "\n" + text).substring(0, ID_LENGTH);
         String[] parts = text.split(SEPARATOR);
-        if (parts.length == PARTS && PREFIX.equals(parts[0])) {
+        if (parts.length == PART_COUNT && PREFIX.equals(parts[0])) {
             try {
                 return new ClaimKey(id, new FailureDomainId(parts[1]), Long.parseLong(parts[2]));
             } catch (IllegalArgumentException e) {
-                // Looks like a minted key and is none: it is a caller's own.
+                // Not a valid issued key: treated as one that the caller chose.
             }
         }
         return new ClaimKey(id, null, 0);
     }
 
     /**
-     * Makes a key.
+     * Issues a new key.
      *
-     * @param domain the failure domain that is to be its home
-     * @param now the time, in milliseconds since 1970
-     * @return the text for the caller
+     * @param domain the home failure domain of the key
+     * @param now the current time, in milliseconds since the epoch
+     * @return the key as sent to the caller
      */
     public static String mint(FailureDomainId domain, long now) {
         return String.join(
@@ -81,32 +81,32 @@
     }
 
     /**
-     * Finds the failure domain that keeps the claim.
+     * Returns the failure domain that stores the claim on this key.
      *
      * @param domains all failure domains
-     * @return the domain that made the key, or the one that its hash picks
+     * @return the domain that issued the key, or the one selected by its hash
      */
     public FailureDomainId home(Collection<FailureDomainId> domains) {
         if (mintedIn != null && domains.contains(mintedIn)) {
             return mintedIn;
         }
-        return ranked(domains).get(0);
+        return rankByHash(domains).get(0);
     }
 
     /**
-     * Ranks places for this key by rendezvous hashing.
+     * Ranks candidates for this key by rendezvous hashing.
      *
-     * @param places the places
-     * @param <T> the type of the places
-     * @return the places, the best first
+     * @param candidates the candidates
+     * @param <T> the type of the candidates
+     * @return the candidates, the highest rank first
      */
-    public <T> List<T> ranked(Collection<T> places) {
-        List<T> out = new ArrayList<>(places);
-        out.sort(Comparator.comparingLong((T p) -> weight(p)).thenComparing(Object::toString));
+    public <T> List<T> rankByHash(Collection<T> candidates) {
+        List<T> out = new ArrayList<>(candidates);
+        out.sort(Comparator.comparingLong((T c) -> weight(c)).thenComparing(Object::toString));
         return out;
     }
 
-    private long weight(Object place) {
-        return MurmurHash3.hash128x64((id + "\n" + place).getBytes(StandardCharsets.UTF_8))[0];
+    private long weight(Object candidate) {
+        return MurmurHash3.hash128x64((id + "\n" + candidate).getBytes(StandardCharsets.UTF_8))[0];
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/claim/ClaimMessage.java
+++ b/entry/src/main/java/org/hallwall/entry/claim/ClaimMessage.java
@@ -25,13 +25,13 @@
 import org.hallwall.wire.PeerKinds;
 import org.hallwall.wire.PeerMessage;
 
-/** A message between two entries about claims. */
+/** A message of the claim protocol between two entries. */
 public sealed interface ClaimMessage extends PeerMessage {
 
     /**
-     * Registers the kinds of message.
+     * Registers the message types of the claim protocol.
      *
-     * @param kinds where to register them
+     * @param kinds the registry
      */
     static void register(PeerKinds kinds) {
         kinds.add(40, Ask.class)
@@ -43,69 +43,69 @@
     }
 
     /**
-     * Asks for a key.
+     * Requests a grant of a key.
      *
      * @param key the hash of the key
-     * @param mintedAt when the key was made; zero if the caller made it
+     * @param mintedAt when the key was issued; zero if the caller chose it
      * @param claim the id of the claim
      * @param bodyHash the hash of the request
-     * @param owner who asks
+     * @param owner the entry that requests the grant
      */
     record Ask(String key, long mintedAt, String claim, String bodyHash, InstanceId owner) implements ClaimMessage {}
 
     /**
-     * Answers the question for a key.
+     * Replies to {@link Ask}.
      *
-     * @param kind the answer
-     * @param known what is known, if the key is claimed already; null otherwise
+     * @param kind the result
+     * @param known the existing claim; null unless the kind is {@code KNOWN}
      */
     record Answer(Kind kind, ClaimRecord known) implements ClaimMessage {
 
-        /** The answers. */
+        /** The result of requesting a grant. */
         public enum Kind {
-            /** The key is granted, and it was not claimed before. */
+            /** The key is granted, and no earlier claim can exist. */
             GRANTED,
-            /** The key is granted, but claims from before may have been forgotten here. */
+            /** The key is granted, but an earlier claim may have been lost in a restart of the replica. */
             GRANTED_UNSURE,
-            /** The key is claimed already. */
+            /** The key is already claimed. */
             KNOWN,
-            /** No room for another key. */
+            /** The store has reached its maximum number of keys. */
             FULL
         }
     }
 
     /**
-     * Ends a claim.
+     * Completes a claim.
      *
      * @param key the hash of the key
      * @param claim the id of the claim
-     * @param verdict how the request ended; if it did not run, the key is free again
-     * @param answer the whole answer; null if there is none
+     * @param verdict the outcome of the request; {@code NOT_RUN} releases the key
+     * @param answer the complete answer; null if there is none
      */
     record Settle(String key, String claim, Verdict verdict, StoredAnswer answer) implements ClaimMessage {}
 
     /**
-     * Confirms the end of a claim.
+     * Replies to {@link Settle}.
      *
-     * @param known whether the claim was known
+     * @param known whether the claim was found
      */
     record Done(boolean known) implements ClaimMessage {}
 
     /**
-     * Asks for all claims, page by page.
+     * Requests one page of all claims.
      *
-     * @param afterKey the last key of the page before; empty for the first page
-     * @param boot the asker's boot
+     * @param afterKey the last key of the previous page; empty for the first page
+     * @param boot the boot id of the requesting entry
      */
     record Sync(String afterKey, String boot) implements ClaimMessage {}
 
     /**
-     * One page of claims.
+     * Replies to {@link Sync} with one page of claims.
      *
-     * @param records the claims in order of their keys
+     * @param records the claims, ordered by key
      * @param last whether this is the last page
-     * @param sure whether the answerer has forgotten nothing
-     * @param boot the answerer's boot
+     * @param sure whether the replying entry has a complete history of its claims
+     * @param boot the boot id of the replying entry
      */
     record SyncPage(List<ClaimRecord> records, boolean last, boolean sure, String boot) implements ClaimMessage {}
 }
--- a/entry/src/main/java/org/hallwall/entry/claim/ClaimPeers.java
+++ b/entry/src/main/java/org/hallwall/entry/claim/ClaimPeers.java
@@ -25,23 +25,23 @@
 import org.hallwall.wire.PeerMessage;
 import reactor.core.publisher.Mono;
 
-/** Calls the other entries of the failure domain. */
+/** The transport to the other entries of the failure domain. */
 public interface ClaimPeers {
 
     /**
-     * Names the other entries.
+     * Returns the other entries of the failure domain.
      *
-     * @return the entries, without this one
+     * @return the ids of the entries, excluding this one
      */
     Set<InstanceId> others();
 
     /**
-     * Makes a call.
+     * Sends a request to an entry and waits for its reply.
      *
-     * @param to the entry
-     * @param message the message
-     * @param timeout how long to wait
-     * @return the reply, or an error
+     * @param to the receiving entry
+     * @param message the request
+     * @param timeout how long to wait for the reply
+     * @return the reply, or an error if there is none in time
      */
     Mono<PeerMessage> call(InstanceId to, PeerMessage message, Duration timeout);
 }
--- a/entry/src/main/java/org/hallwall/entry/claim/ClaimRecord.java
+++ b/entry/src/main/java/org/hallwall/entry/claim/ClaimRecord.java
@@ -22,16 +22,16 @@
 import org.hallwall.core.verdict.Verdict;
 
 /**
- * What an entry knows of a claimed key.
+ * The state of a claimed key as stored on one entry.
  *
  * @param key the hash of the key
  * @param claim the id of the claim
  * @param bodyHash the hash of the request
  * @param owner the entry that claimed the key and runs the request
- * @param ageMillis how long ago the key was claimed
+ * @param ageMillis the time since the key was claimed, in milliseconds
  * @param ended whether the request has ended
- * @param verdict how it ended, if it has
- * @param answer the whole answer; null if there is none or if it is no longer kept
+ * @param verdict the outcome of the request; null while it runs
+ * @param answer the complete answer; null if there is none or if it was evicted
  */
 public record ClaimRecord(
         String key,
@@ -43,15 +43,15 @@
         Verdict verdict,
         StoredAnswer answer) {
 
-    ClaimRecord ended(Verdict how, StoredAnswer whole) {
-        return new ClaimRecord(key, claim, bodyHash, owner, ageMillis, true, how, whole);
+    ClaimRecord withOutcome(Verdict outcome, StoredAnswer completeAnswer) {
+        return new ClaimRecord(key, claim, bodyHash, owner, ageMillis, true, outcome, completeAnswer);
     }
 
     ClaimRecord withoutAnswer() {
         return new ClaimRecord(key, claim, bodyHash, owner, ageMillis, ended, verdict, null);
     }
 
-    ClaimRecord aged(long age) {
+    ClaimRecord withAge(long age) {
         return new ClaimRecord(key, claim, bodyHash, owner, age, ended, verdict, answer);
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/claim/ClaimStore.java
+++ b/entry/src/main/java/org/hallwall/entry/claim/ClaimStore.java
@@ -29,185 +29,189 @@
 import org.hallwall.entry.claim.ClaimMessage.Answer;
 
 /**
- * The claims that this entry keeps, in memory only. Keys are kept for a stated time and never dropped earlier: when
- * there is no room, new keys are refused. Answers are dropped sooner, the oldest first. Safe for use by several threads.
+ * In-memory store of the claims that this entry holds as a replica.
+ *
+ * <p>A key is retained for {@link #KEY_RETENTION_MILLIS} and never evicted earlier: a full store rejects new keys.
+ * Answers are evicted oldest first once they exceed the memory limit. This class is thread-safe.
  */
 public final class ClaimStore {
 
-    /** How long a key is remembered. */
-    public static final long KEY_MILLIS = 3_600_000;
+    /** How long a key is retained, in milliseconds. */
+    public static final long KEY_RETENTION_MILLIS = 3_600_000;
 
-    private static final int MOST_KEYS = 200_000;
-    private static final long MOST_ANSWER_BYTES = 8L * 1024 * 1024;
-    private static final int PAGE = 2_000;
-    private static final long SKEW_MILLIS = 5_000;
+    private static final int MAX_KEYS = 200_000;
+    private static final long MAX_ANSWER_BYTES = 8L * 1024 * 1024;
+    private static final int PAGE_SIZE = 2_000;
+    private static final long CLOCK_SKEW_MILLIS = 5_000;
 
     private final Ticker ticker;
-    private final TreeMap<String, Kept> records = new TreeMap<>();
-    private final Map<String, Integer> answers = new LinkedHashMap<>();
-    private final long startedAtWall;
+    private final TreeMap<String, TimedClaim> records = new TreeMap<>();
+    private final Map<String, Integer> answerSizes = new LinkedHashMap<>();
+    private final long wallClockAtStart;
     private final long startedAt;
     private long answerBytes;
-    private long forgotAt;
-    private boolean sure;
+    private long lastExpiryAt;
+    private boolean historyComplete;
 
     /**
-     * Creates an empty store that has forgotten all there was before.
+     * Creates an empty store without the claims of earlier runs of this process.
      *
-     * @param ticker the clock
-     * @param wallClock the time, in milliseconds since 1970
+     * @param ticker the monotonic clock
+     * @param wallClock the current time, in milliseconds since the epoch
      */
     public ClaimStore(Ticker ticker, long wallClock) {
         this.ticker = ticker;
         this.startedAt = ticker.millis();
-        this.startedAtWall = wallClock;
+        this.wallClockAtStart = wallClock;
     }
 
     /**
-     * Answers the question for a key.
+     * Handles a request for a grant of a key; a granted key is recorded.
      *
-     * @param ask the question
-     * @return the answer; a grant is remembered
+     * @param ask the request
+     * @return the result
      */
     public synchronized Answer ask(ClaimMessage.Ask ask) {
-        forgetOld();
-        Kept known = records.get(ask.key());
-        if (known != null && !known.record.claim().equals(ask.claim())) {
-            return new Answer(Answer.Kind.KNOWN, known.record.aged(age(known)));
+        removeExpired();
+        TimedClaim existing = records.get(ask.key());
+        if (existing != null && !existing.record.claim().equals(ask.claim())) {
+            return new Answer(Answer.Kind.KNOWN, existing.record.withAge(ageMillis(existing)));
         }
-        if (known == null && records.size() >= MOST_KEYS) {
+        if (existing == null && records.size() >= MAX_KEYS) {
             return new Answer(Answer.Kind.FULL, null);
         }
-        if (known == null) {
-            ClaimRecord fresh =
+        if (existing == null) {
+            ClaimRecord created =
                     new ClaimRecord(ask.key(), ask.claim(), ask.bodyHash(), ask.owner(), 0, false, null, null);
-            records.put(ask.key(), new Kept(fresh, ticker.millis()));
+            records.put(ask.key(), new TimedClaim(created, ticker.millis()));
         }
         return new Answer(isSure(ask.mintedAt()) ? Answer.Kind.GRANTED : Answer.Kind.GRANTED_UNSURE, null);
     }
 
     /**
-     * Ends a claim.
+     * Completes a claim.
      *
-     * @param settle how it ended
-     * @return whether the claim was known
+     * @param settle the claim and its outcome
+     * @return whether the claim was found
      */
     public synchronized boolean settle(ClaimMessage.Settle settle) {
-        Kept known = records.get(settle.key());
-        if (known == null || !known.record.claim().equals(settle.claim())) {
+        TimedClaim existing = records.get(settle.key());
+        if (existing == null || !existing.record.claim().equals(settle.claim())) {
             return false;
         }
         if (settle.verdict() == Verdict.NOT_RUN) {
             records.remove(settle.key());
             return true;
         }
-        records.put(settle.key(), new Kept(known.record.ended(settle.verdict(), settle.answer()), known.at));
-        keepAnswer(settle.key(), settle.answer());
+        records.put(
+                settle.key(),
+                new TimedClaim(existing.record.withOutcome(settle.verdict(), settle.answer()), existing.claimedAt));
+        retainAnswer(settle.key(), settle.answer());
         return true;
     }
 
     /**
-     * Gives one page of all claims.
+     * Returns one page of all claims, without their answers.
      *
-     * @param afterKey the last key of the page before; empty for the first page
-     * @param boot this entry's boot
+     * @param afterKey the last key of the previous page; empty for the first page
+     * @param boot the boot id of this entry
      * @return the page
      */
     public synchronized ClaimMessage.SyncPage page(String afterKey, String boot) {
         List<ClaimRecord> out = new ArrayList<>();
-        for (Kept k : records.tailMap(afterKey, false).values()) {
-            if (out.size() == PAGE) {
-                return new ClaimMessage.SyncPage(out, false, sure, boot);
+        for (TimedClaim k : records.tailMap(afterKey, false).values()) {
+            if (out.size() == PAGE_SIZE) {
+                return new ClaimMessage.SyncPage(out, false, historyComplete, boot);
             }
-            out.add(k.record.withoutAnswer().aged(age(k)));
+            out.add(k.record.withoutAnswer().withAge(ageMillis(k)));
         }
-        return new ClaimMessage.SyncPage(out, true, sure, boot);
+        return new ClaimMessage.SyncPage(out, true, historyComplete, boot);
     }
 
     /**
-     * Takes claims that another entry knows; what is known here stays.
+     * Adds claims copied from another entry; existing claims are not overwritten.
      *
      * @param copied the claims
      */
-    public synchronized void take(List<ClaimRecord> copied) {
+    public synchronized void merge(List<ClaimRecord> copied) {
         for (ClaimRecord r : copied) {
-            records.putIfAbsent(r.key(), new Kept(r, ticker.millis() - r.ageMillis()));
+            records.putIfAbsent(r.key(), new TimedClaim(r, ticker.millis() - r.ageMillis()));
         }
     }
 
-    /** Notes that nothing that matters has been forgotten. */
-    public synchronized void becomeSure() {
-        sure = true;
+    /** Marks the history as complete, so that every grant of a new key is certain. */
+    public synchronized void markHistoryComplete() {
+        historyComplete = true;
     }
 
     /**
-     * Says whether nothing that matters has been forgotten.
+     * Returns whether the history of claims is complete.
      *
-     * @return true if every claim of the retention time is known that this entry has granted
+     * @return true if the store has every claim that this entry granted within the retention time
      */
     public synchronized boolean isSure() {
-        return sure || ticker.millis() - startedAt > KEY_MILLIS;
+        return historyComplete || ticker.millis() - startedAt > KEY_RETENTION_MILLIS;
     }
 
     /**
-     * Counts the keys.
+     * Returns the number of keys.
      *
-     * @return how many
+     * @return the number of keys
      */
     public synchronized int size() {
         return records.size();
     }
 
     /**
-     * Measures the answers kept.
+     * Returns the total size of the stored answers.
      *
-     * @return bytes
+     * @return the size in bytes
      */
     public synchronized long answerBytes() {
         return answerBytes;
     }
 
-    /** A key made after this entry started cannot have been claimed before it. */
+    /** A key issued after this entry started cannot have been claimed in an earlier run. */
     private boolean isSure(long mintedAt) {
-        return isSure() || mintedAt > startedAtWall + SKEW_MILLIS;
+        return isSure() || mintedAt > wallClockAtStart + CLOCK_SKEW_MILLIS;
     }
 
-    private long age(Kept k) {
-        return ticker.millis() - k.at;
+    private long ageMillis(TimedClaim k) {
+        return ticker.millis() - k.claimedAt;
     }
 
-    private void keepAnswer(String key, StoredAnswer answer) {
+    private void retainAnswer(String key, StoredAnswer answer) {
         if (answer == null) {
             return;
         }
-        answers.put(key, answer.body().length);
+        answerSizes.put(key, answer.body().length);
         answerBytes += answer.body().length;
-        while (answerBytes > MOST_ANSWER_BYTES) {
-            String oldest = answers.keySet().iterator().next();
-            answerBytes -= answers.remove(oldest);
-            Kept k = records.get(oldest);
+        while (answerBytes > MAX_ANSWER_BYTES) {
+            String oldest = answerSizes.keySet().iterator().next();
+            answerBytes -= answerSizes.remove(oldest);
+            TimedClaim k = records.get(oldest);
             if (k != null) {
-                records.put(oldest, new Kept(k.record.withoutAnswer(), k.at));
+                records.put(oldest, new TimedClaim(k.record.withoutAnswer(), k.claimedAt));
             }
         }
     }
 
-    /** Called often, so it looks only when there is something to find. */
-    private void forgetOld() {
+    /** Runs on every request, so it scans at most once per sixtieth of the retention time. */
+    private void removeExpired() {
         long now = ticker.millis();
-        if (now - forgotAt < KEY_MILLIS / 60) {
+        if (now - lastExpiryAt < KEY_RETENTION_MILLIS / 60) {
             return;
         }
-        forgotAt = now;
-        records.values().removeIf(k -> now - k.at > KEY_MILLIS);
-        answers.keySet().removeIf(k -> !records.containsKey(k) && dropAnswer(k));
+        lastExpiryAt = now;
+        records.values().removeIf(k -> now - k.claimedAt > KEY_RETENTION_MILLIS);
+        answerSizes.keySet().removeIf(k -> !records.containsKey(k) && releaseAnswerBytes(k));
     }
 
-    private boolean dropAnswer(String key) {
-        answerBytes -= answers.get(key);
+    private boolean releaseAnswerBytes(String key) {
+        answerBytes -= answerSizes.get(key);
         return true;
     }
 
-    /** A record and when its key was claimed, by this process's clock. */
-    private record Kept(ClaimRecord record, long at) {}
+    /** A record with the time its key was claimed, by the monotonic clock. */
+    private record TimedClaim(ClaimRecord record, long claimedAt) {}
 }
--- a/entry/src/main/java/org/hallwall/entry/claim/ClaimSync.java
+++ b/entry/src/main/java/org/hallwall/entry/claim/ClaimSync.java
@@ -36,20 +36,20 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Brings the store of a started entry up to date: it copies the claims of all other entries of the failure domain.
+ * Restores the claims of a restarted entry by copying them from all other entries of the failure domain.
  *
- * <p>Once all others, none of which has forgotten anything, have been copied, this entry is sure as well. Where all have
- * forgotten, the voters say whether this is the first start of the failure domain.
+ * <p>The history is complete once the claims of all other entries have been copied and each of these had a complete
+ * history itself. If none has one, the voters decide whether this is the first start of the failure domain.
  */
 public final class ClaimSync implements Closeable {
 
     private static final Logger LOG = Logger.getLogger(ClaimSync.class);
-    private static final int RING = 256;
+    private static final int QUEUE_CAPACITY = 256;
     private static final long TICK_MILLIS = 300;
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
 
-    /** Grants of this entry's earlier life are counted for less than this time, so its keepers know them by then. */
-    private static final long SETTLE_FIRST_MILLIS = 2_000;
+    /** Claims that this entry requested before its restart are decided within this time, so their replicas have them. */
+    private static final long START_DELAY_MILLIS = 2_000;
 
     private final String boot = UUID.randomUUID().toString();
     private final ClaimStore store;
@@ -57,19 +57,19 @@
     private final Function<List<String>, Mono<List<String>>> formDomain;
     private final Ticker ticker;
     private final long startedAt;
-    private final DutyThread duty;
+    private final DutyThread eventLoop;
     private final Set<InstanceId> copied = new HashSet<>();
-    private final Map<InstanceId, String> unsureBoots = new HashMap<>();
-    private final Set<InstanceId> asking = new HashSet<>();
-    private boolean forming;
+    private final Map<InstanceId, String> incompleteBoots = new HashMap<>();
+    private final Set<InstanceId> pendingCopies = new HashSet<>();
+    private boolean formationPending;
 
     /**
-     * Creates the sync; {@link #start()} starts it.
+     * Creates the synchronization; call {@link #start()} to run it.
      *
-     * @param store the claims kept here
+     * @param store the claims stored on this entry
      * @param peers the other entries of the failure domain
-     * @param formDomain tells the voters the boots of all entries and gives those with which the domain was first formed
-     * @param ticker the clock
+     * @param formDomain proposes the boot ids of all entries to the voters and returns those of the first formation
+     * @param ticker the monotonic clock
      */
     public ClaimSync(
             ClaimStore store, ClaimPeers peers, Function<List<String>, Mono<List<String>>> formDomain, Ticker ticker) {
@@ -78,18 +78,18 @@
         this.formDomain = formDomain;
         this.ticker = ticker;
         this.startedAt = ticker.millis();
-        this.duty = new DutyThread("claims", RING, TICK_MILLIS, this::tick);
+        this.eventLoop = new DutyThread("claims", QUEUE_CAPACITY, TICK_MILLIS, this::tick);
     }
 
     /** Starts the thread. */
     public void start() {
-        duty.start();
+        eventLoop.start();
     }
 
     /**
-     * Gives the random text that names this life of the process.
+     * Returns the boot id, a random id of this run of the process.
      *
-     * @return the text
+     * @return the boot id
      */
     public String boot() {
         return boot;
@@ -97,77 +97,81 @@
 
     @Override
     public void close() {
-        duty.close();
+        eventLoop.close();
     }
 
     private void tick() {
-        if (store.isSure() || ticker.millis() - startedAt < SETTLE_FIRST_MILLIS) {
+        if (store.isSure() || ticker.millis() - startedAt < START_DELAY_MILLIS) {
             return;
         }
         for (InstanceId other : peers.others()) {
-            if (!copied.contains(other) && asking.add(other)) {
+            if (!copied.contains(other) && pendingCopies.add(other)) {
                 copyFrom(other, "");
             }
         }
         if (copied.containsAll(peers.others())) {
-            becomeSure("all others were copied");
-        } else if (allAnswered() && !forming) {
-            form();
+            markHistoryComplete("copied from all other entries");
+        } else if (haveAllReplied() && !formationPending) {
+            requestFormation();
         }
     }
 
-    private boolean allAnswered() {
-        Set<InstanceId> answered = new HashSet<>(copied);
-        answered.addAll(unsureBoots.keySet());
-        return answered.containsAll(peers.others());
+    private boolean haveAllReplied() {
+        Set<InstanceId> replied = new HashSet<>(copied);
+        replied.addAll(incompleteBoots.keySet());
+        return replied.containsAll(peers.others());
     }
 
     private void copyFrom(InstanceId other, String afterKey) {
         peers.call(other, new ClaimMessage.Sync(afterKey, boot), TIMEOUT)
                 .cast(ClaimMessage.SyncPage.class)
-                .subscribe(page -> duty.offer(() -> onPage(other, page)), e -> duty.offer(() -> asking.remove(other)));
+                .subscribe(
+                        page -> eventLoop.offer(() -> onPage(other, page)),
+                        e -> eventLoop.offer(() -> pendingCopies.remove(other)));
     }
 
     private void onPage(InstanceId other, ClaimMessage.SyncPage page) {
-        store.take(page.records());
+        store.merge(page.records());
         if (!page.last()) {
             copyFrom(other, page.records().get(page.records().size() - 1).key());
             return;
         }
-        asking.remove(other);
+        pendingCopies.remove(other);
         if (page.sure()) {
             copied.add(other);
-            unsureBoots.remove(other);
+            incompleteBoots.remove(other);
         } else {
-            unsureBoots.put(other, page.boot());
+            incompleteBoots.put(other, page.boot());
         }
     }
 
-    private void form() {
-        forming = true;
+    private void requestFormation() {
+        formationPending = true;
         List<String> boots = new ArrayList<>();
-        if (unsureBoots.keySet().containsAll(peers.others())) {
-            boots.addAll(unsureBoots.values());
+        if (incompleteBoots.keySet().containsAll(peers.others())) {
+            boots.addAll(incompleteBoots.values());
             boots.add(boot);
         }
-        // Where one entry is sure, the domain was formed before, and no boots only ask how.
+        // If an entry has a complete history, the domain was formed before: an empty list only queries the boot ids.
         formDomain
                 .apply(boots)
-                .subscribe(formed -> duty.offer(() -> onFormed(formed)), e -> duty.offer(() -> forming = false));
+                .subscribe(
+                        formed -> eventLoop.offer(() -> onFormed(formed)),
+                        e -> eventLoop.offer(() -> formationPending = false));
     }
 
     private void onFormed(List<String> formed) {
-        forming = false;
+        formationPending = false;
         if (formed.contains(boot)) {
-            becomeSure("the failure domain is new");
+            markHistoryComplete("first start of the failure domain");
         } else {
-            unsureBoots.clear();
+            incompleteBoots.clear();
             copied.clear();
         }
     }
 
-    private void becomeSure(String why) {
-        LOG.infof("claims: this entry has forgotten no claim, %s", why);
-        store.becomeSure();
+    private void markHistoryComplete(String reason) {
+        LOG.infof("claims: history is complete, %s", reason);
+        store.markHistoryComplete();
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/claim/KeyedAnswer.java
+++ b/entry/src/main/java/org/hallwall/entry/claim/KeyedAnswer.java
@@ -22,10 +22,10 @@
 import reactor.core.publisher.Flux;
 
 /**
- * The answer to a request with a key, or where it is.
+ * The answer to a request with an idempotency key, or the entry to forward the request to.
  *
- * @param parts the parts of the answer; null if another entry has it
- * @param owner the entry that has it; null if it is here
+ * @param parts the parts of the answer; null if another entry owns the run
+ * @param owner the entry that owns the run; null if the answer is available on this one
  * @param <T> the type of the parts
  */
 public record KeyedAnswer<T>(Flux<T> parts, InstanceId owner) {}
--- a/entry/src/main/java/org/hallwall/entry/claim/KeyedRuns.java
+++ b/entry/src/main/java/org/hallwall/entry/claim/KeyedRuns.java
@@ -34,7 +34,8 @@
 import reactor.core.publisher.Sinks;
 
 /**
- * Runs requests with a key. A run goes on when its caller is gone, and later arrivals of the key attach to it.
+ * Runs requests with an idempotency key. A run continues after its caller disconnects, and retries of the caller attach
+ * to it.
  *
  * @param <T> the type of the parts of an answer
  */
@@ -43,15 +44,15 @@
     private final InstanceId self;
     private final ClaimCoordinator coordinator;
     private final AnswerForm<T> form;
-    private final Map<String, Running<T>> running = new ConcurrentHashMap<>();
-    private final Map<String, Mono<KeyedAnswer<T>>> claiming = new ConcurrentHashMap<>();
+    private final Map<String, ActiveRun<T>> runsByKey = new ConcurrentHashMap<>();
+    private final Map<String, Mono<KeyedAnswer<T>>> pendingClaims = new ConcurrentHashMap<>();
 
     /**
-     * Creates the runs.
+     * Creates the runner.
      *
-     * @param self this entry
+     * @param self the id of this entry
      * @param coordinator claims keys
-     * @param form the form of the answers
+     * @param form converts answers to their stored form and back
      */
     public KeyedRuns(InstanceId self, ClaimCoordinator coordinator, AnswerForm<T> form) {
         this.self = self;
@@ -60,104 +61,105 @@
     }
 
     /**
-     * Runs a request with a key, or finds the run or the answer that there is.
+     * Runs a request, or attaches to its existing run or stored answer.
      *
      * @param key the key
      * @param bodyHash the hash of the request
-     * @param run runs the request
-     * @return the answer, the entry to ask instead, or a {@link RefusalException}
+     * @param run starts the request
+     * @return the answer, the entry to forward to, or a {@link RefusalException}
      */
     public Mono<KeyedAnswer<T>> run(ClaimKey key, String bodyHash, Supplier<Flux<T>> run) {
-        Running<T> here = running.get(key.id());
-        if (here != null) {
-            return attach(here, bodyHash);
+        ActiveRun<T> active = runsByKey.get(key.id());
+        if (active != null) {
+            return attach(active, bodyHash);
         }
-        Mono<KeyedAnswer<T>> own = coordinator
+        Mono<KeyedAnswer<T>> pending = coordinator
                 .claim(key, bodyHash)
-                .flatMap(d -> act(d, key, bodyHash, run))
-                // Taken out before the outcome is told, so that those who wait for it do not find it again.
-                .doOnTerminate(() -> claiming.remove(key.id()))
+                .flatMap(d -> applyDecision(d, key, bodyHash, run))
+                // Removed before the result is emitted, so that a waiting duplicate does not find this claim again.
+                .doOnTerminate(() -> pendingClaims.remove(key.id()))
                 .cache();
-        Mono<KeyedAnswer<T>> earlier = claiming.putIfAbsent(key.id(), own);
+        Mono<KeyedAnswer<T>> earlier = pendingClaims.putIfAbsent(key.id(), pending);
         if (earlier == null) {
-            return own;
+            return pending;
         }
-        // Another arrival of the key is being decided here; what becomes of this one depends on it.
+        // A duplicate request is already claiming the key on this entry: retry once that claim is decided.
         return earlier.then().onErrorResume(e -> Mono.empty()).then(Mono.defer(() -> run(key, bodyHash, run)));
     }
 
-    private Mono<KeyedAnswer<T>> act(ClaimDecision d, ClaimKey key, String bodyHash, Supplier<Flux<T>> run) {
+    private Mono<KeyedAnswer<T>> applyDecision(ClaimDecision d, ClaimKey key, String bodyHash, Supplier<Flux<T>> run) {
         if (d instanceof ClaimDecision.Owned owned) {
-            return Mono.just(begin(key, owned.claim(), bodyHash, run));
+            return Mono.just(startRun(key, owned.claim(), bodyHash, run));
         }
-        if (d instanceof ClaimDecision.Stored stored) {
+        if (d instanceof ClaimDecision.Completed stored) {
             return Mono.just(new KeyedAnswer<>(form.restore(stored.answer()), null));
         }
-        return elsewhere(key, bodyHash, ((ClaimDecision.Elsewhere) d).owner());
+        return resolveRedirect(key, bodyHash, ((ClaimDecision.Redirect) d).owner());
     }
 
     /**
-     * Counts the runs in progress.
+     * Returns the number of active runs.
      *
-     * @return how many
+     * @return the number of runs
      */
     public int size() {
-        return running.size();
+        return runsByKey.size();
     }
 
-    private Mono<KeyedAnswer<T>> elsewhere(ClaimKey key, String bodyHash, InstanceId owner) {
+    private Mono<KeyedAnswer<T>> resolveRedirect(ClaimKey key, String bodyHash, InstanceId owner) {
         if (!owner.equals(self)) {
             return Mono.just(new KeyedAnswer<>(null, owner));
         }
-        Running<T> here = running.get(key.id());
-        if (here != null) {
-            return attach(here, bodyHash);
+        ActiveRun<T> active = runsByKey.get(key.id());
+        if (active != null) {
+            return attach(active, bodyHash);
         }
-        // Claimed by an earlier life of this process, or ended here without a keeper learning how.
+        // Claimed before this process restarted, or ended here without reaching a replica.
         return Mono.error(new RefusalException(
                 ProblemType.OUTCOME_UNKNOWN,
                 Verdict.MAY_HAVE_RUN,
-                "the entry that ran the request has restarted",
+                "the entry that ran the request has restarted, and the outcome is unknown",
                 Duration.ZERO));
     }
 
-    private Mono<KeyedAnswer<T>> attach(Running<T> here, String bodyHash) {
-        if (!here.bodyHash.equals(bodyHash)) {
-            return Mono.error(new RefusalException(ProblemType.KEY_REUSED, "the key was used with another request"));
+    private Mono<KeyedAnswer<T>> attach(ActiveRun<T> active, String bodyHash) {
+        if (!active.bodyHash.equals(bodyHash)) {
+            return Mono.error(
+                    new RefusalException(ProblemType.KEY_REUSED, "the key was already used with a different request"));
         }
-        return Mono.just(new KeyedAnswer<>(here.parts(), null));
+        return Mono.just(new KeyedAnswer<>(active.parts(), null));
     }
 
-    private KeyedAnswer<T> begin(ClaimKey key, String claim, String bodyHash, Supplier<Flux<T>> run) {
-        Running<T> fresh = new Running<>(bodyHash);
-        running.put(key.id(), fresh);
+    private KeyedAnswer<T> startRun(ClaimKey key, String claim, String bodyHash, Supplier<Flux<T>> run) {
+        ActiveRun<T> created = new ActiveRun<>(bodyHash);
+        runsByKey.put(key.id(), created);
         List<T> parts = new ArrayList<>();
         run.get()
                 .doOnNext(parts::add)
-                .concatMap(part -> form.isLast(part) ? settled(key, claim, parts, part) : Mono.just(part))
-                .onErrorResume(e -> failed(key, claim, e))
-                .doFinally(end -> running.remove(key.id()))
-                .subscribe(fresh::next, fresh::error, fresh::complete);
-        return new KeyedAnswer<>(fresh.parts(), null);
+                .concatMap(part -> form.isLast(part) ? completeBeforeLast(key, claim, parts, part) : Mono.just(part))
+                .onErrorResume(e -> completeWithError(key, claim, e))
+                .doFinally(end -> runsByKey.remove(key.id()))
+                .subscribe(created::next, created::error, created::complete);
+        return new KeyedAnswer<>(created.parts(), null);
     }
 
-    /** The keepers get the answer before the caller gets its last part, so that a resend finds it. */
-    private Mono<T> settled(ClaimKey key, String claim, List<T> parts, T last) {
-        return coordinator.settle(key, claim, Verdict.RAN, form.store(parts)).thenReturn(last);
+    /** Stores the answer at the replicas before the caller gets the last part, so that a retry finds it. */
+    private Mono<T> completeBeforeLast(ClaimKey key, String claim, List<T> parts, T last) {
+        return coordinator.complete(key, claim, Verdict.RAN, form.store(parts)).thenReturn(last);
     }
 
-    private Mono<T> failed(ClaimKey key, String claim, Throwable e) {
+    private Mono<T> completeWithError(ClaimKey key, String claim, Throwable e) {
         Verdict verdict = e instanceof RefusalException r ? r.verdict() : Verdict.MAY_HAVE_RUN;
-        return coordinator.settle(key, claim, verdict, null).then(Mono.error(e));
+        return coordinator.complete(key, claim, verdict, null).then(Mono.error(e));
     }
 
-    /** A run in progress; everything it has given so far is given again to whoever attaches. */
-    private static final class Running<T> {
+    /** An active run; replays all parts so far to each new subscriber. */
+    private static final class ActiveRun<T> {
 
         private final String bodyHash;
         private final Sinks.Many<T> sink = Sinks.many().replay().all();
 
-        Running(String bodyHash) {
+        ActiveRun(String bodyHash) {
             this.bodyHash = bodyHash;
         }
 
--- a/entry/src/main/java/org/hallwall/entry/claim/StoredAnswer.java
+++ b/entry/src/main/java/org/hallwall/entry/claim/StoredAnswer.java
@@ -21,12 +21,12 @@
 import org.hallwall.engine.RunFrame;
 
 /**
- * A whole answer that is kept for whoever asks again.
+ * A complete answer that is stored for retries of the same request.
  *
- * @param status the HTTP status of a service's reply; zero for a chat completion
- * @param contentType the type of a service's body; null for a chat completion
- * @param body the body, or the text of a chat completion in UTF-8
- * @param end how a chat completion ended; null for a service's reply
- * @param usage the tokens used by a chat completion; null for a service's reply
+ * @param status the HTTP status of a service response; zero for a chat completion
+ * @param contentType the content type of a service response; null for a chat completion
+ * @param body the body of a service response, or the text of a chat completion in UTF-8
+ * @param end the end of a chat completion; null for a service response
+ * @param usage the token usage of a chat completion; null for a service response
  */
 public record StoredAnswer(int status, String contentType, byte[] body, RunFrame.End end, RunFrame.Usage usage) {}
--- a/entry/src/main/java/org/hallwall/entry/claim/package-info.java
+++ b/entry/src/main/java/org/hallwall/entry/claim/package-info.java
@@ -17,10 +17,10 @@
  * under the License.
  */
 /**
- * Claims on idempotency keys: a request with a key runs at most once, and whoever asks again gets the same answer.
+ * Claims on idempotency keys: a request with a key runs at most once, and a retry gets the same answer.
  *
- * <p>A key is claimed at three entries of its home failure domain, picked by rendezvous hashing over the configured
- * entries, and two of them must grant it before anything is dispatched. Two grants of three always meet, so no
- * membership has to be agreed on, and an entry that returns after a pause can only add to what is known.
+ * <p>A key is replicated on three entries of its home failure domain, selected by rendezvous hashing over the configured
+ * entries. A quorum of two must grant a claim before its request is dispatched. Any two quorums overlap, so no agreement
+ * on membership is needed, and a replica that returns after a pause cannot invalidate a decision.
  */
 package org.hallwall.entry.claim;
--- a/entry/src/test/java/org/hallwall/entry/claim/ClaimStoreTest.java
+++ b/entry/src/test/java/org/hallwall/entry/claim/ClaimStoreTest.java
@@ -43,63 +43,65 @@
     @BeforeEach
     void create() {
         store = new ClaimStore(now::get, WALL);
-        store.becomeSure();
+        store.markHistoryComplete();
     }
 
     @Test
-    void grantsAKeyToOneClaimOnly() {
-        assertEquals(Kind.GRANTED, ask("k", "c1"));
-        assertEquals(Kind.GRANTED, ask("k", "c1"), "the same claim asks again");
-        assertEquals(Kind.KNOWN, ask("k", "c2"));
+    void grantsKeyToOneClaimOnly() {
+        assertEquals(Kind.GRANTED, requestGrant("k", "c1"));
+        assertEquals(Kind.GRANTED, requestGrant("k", "c1"), "a repeated request of the same claim is granted");
+        assertEquals(Kind.KNOWN, requestGrant("k", "c2"));
     }
 
     @Test
-    void startedStoreIsUnsureButForKeysMadeSince() {
+    void grantsOnlyKeysIssuedAfterStartWithoutHistory() {
         ClaimStore fresh = new ClaimStore(now::get, WALL);
-        assertEquals(Kind.GRANTED_UNSURE, fresh.ask(question("k", "c", 0)).kind());
+        assertEquals(Kind.GRANTED_UNSURE, fresh.ask(grantRequest("k", "c", 0)).kind());
         assertEquals(
-                Kind.GRANTED_UNSURE, fresh.ask(question("k2", "c", WALL - 1)).kind());
-        assertEquals(Kind.GRANTED, fresh.ask(question("k3", "c", WALL + 60_000)).kind());
-        now.addAndGet(ClaimStore.KEY_MILLIS + 1);
-        assertTrue(fresh.isSure(), "after the retention nothing that matters is forgotten");
+                Kind.GRANTED_UNSURE,
+                fresh.ask(grantRequest("k2", "c", WALL - 1)).kind());
+        assertEquals(
+                Kind.GRANTED, fresh.ask(grantRequest("k3", "c", WALL + 60_000)).kind());
+        now.addAndGet(ClaimStore.KEY_RETENTION_MILLIS + 1);
+        assertTrue(fresh.isSure(), "the history is complete after the retention time");
     }
 
     @Test
-    void onlyARequestThatDidNotRunFreesItsKey() {
-        ask("k1", "c1");
-        ask("k2", "c1");
+    void releasesKeyOnlyIfRequestDidNotRun() {
+        requestGrant("k1", "c1");
+        requestGrant("k2", "c1");
         store.settle(new ClaimMessage.Settle("k1", "c1", Verdict.NOT_RUN, null));
         store.settle(new ClaimMessage.Settle("k2", "c1", Verdict.MAY_HAVE_RUN, null));
-        assertEquals(Kind.GRANTED, ask("k1", "c2"));
-        assertEquals(Kind.KNOWN, ask("k2", "c2"));
+        assertEquals(Kind.GRANTED, requestGrant("k1", "c2"));
+        assertEquals(Kind.KNOWN, requestGrant("k2", "c2"));
     }
 
     @Test
-    void settlingAnotherClaimChangesNothing() {
-        ask("k", "c1");
+    void ignoresCompletionOfAnotherClaim() {
+        requestGrant("k", "c1");
         assertFalse(store.settle(new ClaimMessage.Settle("k", "c2", Verdict.NOT_RUN, null)));
-        assertEquals(Kind.KNOWN, ask("k", "c2"));
+        assertEquals(Kind.KNOWN, requestGrant("k", "c2"));
     }
 
     @Test
-    void dropsOldAnswersButNoKeys() {
+    void evictsOldAnswersButNoKeys() {
         for (int i = 0; i < 20; i++) {
-            ask("k" + i, "c");
+            requestGrant("k" + i, "c");
             StoredAnswer answer = new StoredAnswer(200, null, new byte[1024 * 1024], null, null);
             store.settle(new ClaimMessage.Settle("k" + i, "c", Verdict.RAN, answer));
         }
         assertEquals(20, store.size());
         assertTrue(store.answerBytes() <= 8L * 1024 * 1024);
-        assertNull(store.ask(question("k0", "other", 0)).known().answer());
+        assertNull(store.ask(grantRequest("k0", "other", 0)).known().answer());
         assertEquals(
                 1024 * 1024,
-                store.ask(question("k19", "other", 0)).known().answer().body().length);
+                store.ask(grantRequest("k19", "other", 0)).known().answer().body().length);
     }
 
     @Test
-    void copiesPageByPage() {
+    void copiesClaimsInPages() {
         for (int i = 0; i < 4_500; i++) {
-            ask("k" + (10_000 + i), "c");
+            requestGrant("k" + (10_000 + i), "c");
         }
         ClaimStore copy = new ClaimStore(now::get, WALL);
         String after = "";
@@ -108,7 +110,7 @@
         while (!last) {
             ClaimMessage.SyncPage page = store.page(after, "boot");
             List<ClaimRecord> records = page.records();
-            copy.take(records);
+            copy.merge(records);
             after = records.isEmpty() ? after : records.get(records.size() - 1).key();
             last = page.last();
             pages++;
@@ -118,17 +120,17 @@
     }
 
     @Test
-    void forgetsKeysAfterTheRetention() {
-        ask("k", "c1");
-        now.addAndGet(ClaimStore.KEY_MILLIS + 60_000);
-        assertEquals(Kind.GRANTED, ask("k", "c2"));
+    void removesKeysAfterRetentionTime() {
+        requestGrant("k", "c1");
+        now.addAndGet(ClaimStore.KEY_RETENTION_MILLIS + 60_000);
+        assertEquals(Kind.GRANTED, requestGrant("k", "c2"));
     }
 
-    private Kind ask(String key, String claim) {
-        return store.ask(question(key, claim, 0)).kind();
+    private Kind requestGrant(String key, String claim) {
+        return store.ask(grantRequest(key, claim, 0)).kind();
     }
 
-    private static ClaimMessage.Ask question(String key, String claim, long mintedAt) {
+    private static ClaimMessage.Ask grantRequest(String key, String claim, long mintedAt) {
         return new ClaimMessage.Ask(key, mintedAt, claim, "body", OWNER);
     }
 }
