--- a/entry/src/main/java/org/hallwall/entry/forward/CallerForwarder.java
+++ b/entry/src/main/java/org/hallwall/entry/forward/CallerForwarder.java
@@ -43,11 +43,11 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Forwards a caller's request as it is to another entry, and its reply back. */
+/** Proxies a caller's request unchanged to another entry and relays the response. */
 public final class CallerForwarder {
 
-    private static final int CONNECT_MILLIS = 300;
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final int CONNECT_TIMEOUT_MILLIS = 300;
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
     private static final List<String> REQUEST_HEADERS = List.of(
             "Authorization",
             "Content-Type",
@@ -55,7 +55,7 @@
             RequestHeaders.REPEATABLE,
             RequestHeaders.PRIORITY,
             RequestHeaders.DEADLINE);
-    private static final List<String> REPLY_HEADERS =
+    private static final List<String> RESPONSE_HEADERS =
             List.of("Content-Type", "Retry-After", "Cache-Control", RequestHeaders.REQUEST_ID);
 
     private final HttpClient http;
@@ -63,20 +63,20 @@
     /** Creates the forwarder. */
     public CallerForwarder() {
         this.http = HttpClient.create()
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .disableRetry(true);
     }
 
     /**
-     * Forwards a request to the first address that can be reached.
+     * Forwards a request to the first address that accepts a connection.
      *
      * @param req the request
      * @param body its body
-     * @param hops how often it was forwarded before
-     * @param addresses the addresses
-     * @param unreachable the refusal if none can be reached
-     * @param res the reply
-     * @return the end of the reply, or a {@link RefusalException}
+     * @param hops the number of times it was already forwarded
+     * @param addresses the addresses, tried in order
+     * @param unreachable the refusal if none of them can be reached
+     * @param res the response to the caller
+     * @return completes with the response, or fails with a {@link RefusalException}
      */
     public Mono<Void> forward(
             HttpServerRequest req,
@@ -89,17 +89,18 @@
             return Mono.error(unreachable);
         }
         List<NetAddress> rest = addresses.subList(1, addresses.size());
-        return http.headers(h -> copy(req.requestHeaders(), h, hops))
+        return http.headers(h -> copyRequestHeaders(req.requestHeaders(), h, hops))
                 .request(HttpMethod.valueOf(req.method().name()))
                 .uri("http://" + addresses.get(0) + req.uri())
                 .send(Mono.fromSupplier(() -> Unpooled.wrappedBuffer(body)))
-                .response((answer, bytes) -> reply(answer, bytes, res))
+                .response((response, bytes) -> relayResponse(response, bytes, res))
                 .then()
-                .onErrorResume(e ->
-                        isNotConnected(e) ? forward(req, body, hops, rest, unreachable, res) : Mono.error(broken(e)));
+                .onErrorResume(e -> isConnectFailure(e)
+                        ? forward(req, body, hops, rest, unreachable, res)
+                        : Mono.error(toRefusal(e)));
     }
 
-    private static void copy(HttpHeaders from, HttpHeaders to, int hops) {
+    private static void copyRequestHeaders(HttpHeaders from, HttpHeaders to, int hops) {
         for (String name : REQUEST_HEADERS) {
             if (from.contains(name)) {
                 to.set(name, from.get(name));
@@ -108,24 +109,24 @@
         to.set(RequestHeaders.HOPS, hops + 1);
     }
 
-    /** A streamed reply goes through as it comes; any other one only when it is whole. */
-    private static Mono<Void> reply(HttpClientResponse answer, ByteBufFlux bytes, HttpServerResponse res) {
-        boolean streamed = "text/event-stream".equals(answer.responseHeaders().get("Content-Type"));
+    /** Relays an event stream as it arrives; any other response is buffered until it is complete. */
+    private static Mono<Void> relayResponse(HttpClientResponse response, ByteBufFlux bytes, HttpServerResponse res) {
+        boolean streamed = "text/event-stream".equals(response.responseHeaders().get("Content-Type"));
         if (streamed) {
-            copyReply(answer, res);
+            copyResponseHead(response, res);
             Flux<ByteBuf> events = bytes.retain().onErrorResume(e -> Flux.just(errorEvent()));
             return Mono.from(res.send(events, b -> true));
         }
         return bytes.aggregate().asByteArray().defaultIfEmpty(new byte[0]).flatMap(all -> {
-            copyReply(answer, res);
+            copyResponseHead(response, res);
             return Mono.from(res.sendByteArray(Mono.just(all)));
         });
     }
 
-    private static void copyReply(HttpClientResponse answer, HttpServerResponse res) {
-        res.status(answer.status());
-        for (Map.Entry<String, String> h : answer.responseHeaders()) {
-            if (REPLY_HEADERS.stream().anyMatch(n -> n.equalsIgnoreCase(h.getKey()))) {
+    private static void copyResponseHead(HttpClientResponse response, HttpServerResponse res) {
+        res.status(response.status());
+        for (Map.Entry<String, String> h : response.responseHeaders()) {
+            if (RESPONSE_HEADERS.stream().anyMatch(n -> n.equalsIgnoreCase(h.getKey()))) {
                 res.header(h.getKey(), h.getValue());
             }
         }
@@ -137,17 +138,17 @@
         return Unpooled.copiedBuffer("event: error\ndata: " + problem + "\n\n", StandardCharsets.UTF_8);
     }
 
-    private static boolean isNotConnected(Throwable e) {
+    private static boolean isConnectFailure(Throwable e) {
         return e instanceof ConnectException || e instanceof ConnectTimeoutException;
     }
 
-    private static Throwable broken(Throwable e) {
+    private static Throwable toRefusal(Throwable e) {
         return e instanceof RefusalException
                 ? e
                 : new RefusalException(
                         ProblemType.TARGET_FAILED,
                         Verdict.MAY_HAVE_RUN,
-                        "the link to the entry that runs the request broke",
-                        COME_BACK);
+                        "the connection to the entry that runs the request failed",
+                        RETRY_AFTER);
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/forward/RemoteRun.java
+++ b/entry/src/main/java/org/hallwall/entry/forward/RemoteRunRequest.java
@@ -24,17 +24,17 @@
 import org.hallwall.entry.exchange.RequestPriority;
 
 /**
- * Asks an entry of another failure domain to run a request on its groups.
+ * A request to run a chat completion on the groups of another failure domain.
  *
  * @param workspace the workspace
  * @param modelGroup the model group
- * @param adapter the adapter; null for none
- * @param chat the request
+ * @param adapter the name of the adapter; null for none
+ * @param chat the chat completion request
  * @param priority its priority
  * @param repeatable whether it may run more than once
- * @param deadlineMillis how long the caller still waits
+ * @param deadlineMillis the remaining time until the deadline of the caller, in milliseconds
  */
-record RemoteRun(
+record RemoteRunRequest(
         WorkspaceId workspace,
         ModelGroupId modelGroup,
         String adapter,
@@ -43,6 +43,6 @@
         boolean repeatable,
         long deadlineMillis) {
 
-    /** Where an entry takes such runs, on the port for targets. */
+    /** The path that accepts these requests, on the port for targets. */
     static final String PATH = "/entries/v1/runs";
 }
--- a/entry/src/main/java/org/hallwall/entry/forward/RemoteRunServer.java
+++ b/entry/src/main/java/org/hallwall/entry/forward/RemoteRunServer.java
@@ -47,7 +47,7 @@
 import reactor.netty.http.server.HttpServerResponse;
 import reactor.netty.http.server.HttpServerRoutes;
 
-/** Takes runs of entries of other failure domains. */
+/** Serves run requests from entries of other failure domains. */
 public final class RemoteRunServer {
 
     private final BodyReader bodies;
@@ -57,8 +57,8 @@
     /**
      * Creates the server.
      *
-     * @param bodies reads bodies
-     * @param declarations the declarations in force
+     * @param bodies reads request bodies
+     * @param declarations supplies the current declarations
      * @param runner runs requests on the groups of this failure domain only
      */
     public RemoteRunServer(BodyReader bodies, Supplier<Declarations> declarations, RequestRunner runner) {
@@ -68,37 +68,37 @@
     }
 
     /**
-     * Adds the route.
+     * Adds the route for run requests.
      *
-     * @param routes where to add it
+     * @param routes the routes of the server
      */
     public void addRoutes(HttpServerRoutes routes) {
-        routes.post(RemoteRun.PATH, this::handle);
+        routes.post(RemoteRunRequest.PATH, this::handle);
     }
 
     private Publisher<Void> handle(HttpServerRequest req, HttpServerResponse res) {
         return bodies.read(req)
-                .flatMap(this::exchange)
+                .flatMap(this::createExchange)
                 .flatMapMany(runner::run)
                 .switchOnFirst((first, all) -> first.isOnError()
                         ? Mono.<Void>error(first.getThrowable())
-                        : res.header("Content-Type", "application/x-ndjson").send(lines(all), b -> true))
+                        : res.header("Content-Type", "application/x-ndjson").send(encodeLines(all), b -> true))
                 .then()
-                .onErrorResume(e -> Mono.from(HttpReplies.problem(res, refusal(e), null)));
+                .onErrorResume(e -> Mono.from(HttpReplies.problem(res, toRefusal(e), null)));
     }
 
-    /** A run that fails after its first frame ends without an end frame, which the asking entry takes as a failure. */
-    private static Flux<ByteBuf> lines(Flux<List<RunFrame>> frames) {
-        return frames.map(RemoteRunServer::write).onErrorResume(e -> Flux.empty());
+    /** A run that fails after its first frame ends without an end frame, which the client treats as a failure. */
+    private static Flux<ByteBuf> encodeLines(Flux<List<RunFrame>> frames) {
+        return frames.map(RemoteRunServer::encode).onErrorResume(e -> Flux.empty());
     }
 
-    private Mono<Exchange> exchange(byte[] body) {
+    private Mono<Exchange> createExchange(byte[] body) {
         try {
-            RemoteRun run = Json.MAPPER.readValue(body, RemoteRun.class);
+            RemoteRunRequest run = Json.MAPPER.readValue(body, RemoteRunRequest.class);
             WorkspaceSpec spec = declarations.get().workspaces().get(run.workspace());
             if (spec == null) {
                 return Mono.error(new RefusalException(
-                        ProblemType.UNAUTHORIZED, "the workspace is not known in this failure domain"));
+                        ProblemType.UNAUTHORIZED, "the workspace does not exist in this failure domain"));
             }
             RequestHeaders headers =
                     new RequestHeaders(null, null, run.repeatable(), run.priority(), run.deadlineMillis(), 1);
@@ -108,24 +108,24 @@
             x.routedTo(run.modelGroup(), run.adapter());
             return Mono.just(x);
         } catch (IOException e) {
-            return Mono.error(new RefusalException(ProblemType.BAD_REQUEST, "the run is malformed"));
+            return Mono.error(new RefusalException(ProblemType.BAD_REQUEST, "the run request is malformed"));
         }
     }
 
-    private static RefusalException refusal(Throwable e) {
+    private static RefusalException toRefusal(Throwable e) {
         return e instanceof RefusalException r
                 ? r
                 : new RefusalException(ProblemType.INTERNAL, Verdict.MAY_HAVE_RUN, "see the log", Duration.ZERO);
     }
 
-    private static ByteBuf write(List<RunFrame> frames) {
+    private static ByteBuf encode(List<RunFrame> frames) {
         StringBuilder out = new StringBuilder();
         try {
             for (RunFrame f : frames) {
                 out.append(Json.MAPPER.writeValueAsString(f)).append('\n');
             }
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a frame cannot be written", e);
+            throw new IllegalStateException("cannot serialize a run frame", e);
         }
         return Unpooled.wrappedBuffer(out.toString().getBytes(StandardCharsets.UTF_8));
     }
--- a/entry/src/main/java/org/hallwall/entry/forward/RemoteRuns.java
+++ b/entry/src/main/java/org/hallwall/entry/forward/RemoteRuns.java
@@ -46,11 +46,11 @@
 import reactor.netty.http.client.HttpClient;
 import reactor.netty.http.client.HttpClientResponse;
 
-/** Runs requests in other failure domains: one domain after the other until one has a complete group. */
+/** Runs requests in other failure domains, trying their entries in order until a domain has a complete group. */
 public final class RemoteRuns implements RunElsewhere {
 
-    private static final int CONNECT_MILLIS = 300;
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final int CONNECT_TIMEOUT_MILLIS = 300;
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final List<EntrySettings.OtherDomain> domains;
     private final HttpClient http;
@@ -63,14 +63,14 @@
     public RemoteRuns(List<EntrySettings.OtherDomain> domains) {
         this.domains = domains;
         this.http = HttpClient.create()
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .disableRetry(true);
     }
 
     @Override
-    public Flux<List<RunFrame>> run(Exchange x, RefusalException here) {
+    public Flux<List<RunFrame>> run(Exchange x, RefusalException localRefusal) {
         if (x.headers().hops() > 0 || domains.isEmpty()) {
-            return Flux.error(here);
+            return Flux.error(localRefusal);
         }
         List<NetAddress> addresses = new ArrayList<>();
         for (EntrySettings.OtherDomain d : domains) {
@@ -78,23 +78,24 @@
             Collections.shuffle(entries);
             entries.forEach(e -> addresses.add(e.targets()));
         }
-        return tryFrom(x, addresses, 0, here);
+        return tryAddress(x, addresses, 0, localRefusal);
     }
 
-    /** Goes on to the next address only after a refusal that says that the request did not run. */
-    private Flux<List<RunFrame>> tryFrom(Exchange x, List<NetAddress> addresses, int i, RefusalException last) {
-        if (i == addresses.size()) {
-            return Flux.error(last);
+    /** Tries the next address only if the refusal states that the request did not run. */
+    private Flux<List<RunFrame>> tryAddress(
+            Exchange x, List<NetAddress> addresses, int index, RefusalException localRefusal) {
+        if (index == addresses.size()) {
+            return Flux.error(localRefusal);
         }
-        return runAt(x, addresses.get(i)).onErrorResume(RefusalException.class, e -> {
-            boolean next = e.verdict() == Verdict.NOT_RUN
+        return runAt(x, addresses.get(index)).onErrorResume(RefusalException.class, e -> {
+            boolean tryNext = e.verdict() == Verdict.NOT_RUN
                     && (e.type() == ProblemType.NO_COMPLETE_GROUP || e.type() == ProblemType.TARGET_UNREACHABLE);
-            return next ? tryFrom(x, addresses, i + 1, last) : Flux.error(e);
+            return tryNext ? tryAddress(x, addresses, index + 1, localRefusal) : Flux.error(e);
         });
     }
 
     private Flux<List<RunFrame>> runAt(Exchange x, NetAddress address) {
-        RemoteRun run = new RemoteRun(
+        RemoteRunRequest run = new RemoteRunRequest(
                 x.workspace(),
                 x.modelGroup(),
                 x.adapter(),
@@ -105,15 +106,15 @@
         x.markDispatched();
         return http.headers(h -> h.set("Content-Type", "application/json"))
                 .post()
-                .uri("http://" + address + RemoteRun.PATH)
+                .uri("http://" + address + RemoteRunRequest.PATH)
                 .send(Mono.fromCallable(() -> Unpooled.wrappedBuffer(Json.MAPPER.writeValueAsBytes(run))))
-                .response(RemoteRuns::frames)
-                .onErrorMap(e -> !(e instanceof RefusalException), RemoteRuns::broken);
+                .response(RemoteRuns::decodeResponse)
+                .onErrorMap(e -> !(e instanceof RefusalException), RemoteRuns::toRefusal);
     }
 
-    private static Flux<List<RunFrame>> frames(HttpClientResponse res, ByteBufFlux bytes) {
+    private static Flux<List<RunFrame>> decodeResponse(HttpClientResponse res, ByteBufFlux bytes) {
         if (res.status().code() != 200) {
-            return bytes.aggregate().asByteArray().flux().flatMap(b -> Flux.error(refusal(b)));
+            return bytes.aggregate().asByteArray().flux().flatMap(b -> Flux.error(parseRefusal(b)));
         }
         RunFrameDecoder decoder = new RunFrameDecoder();
         boolean[] ended = {false};
@@ -128,25 +129,29 @@
                         sink.error(e);
                     }
                 })
-                .concatWith(Flux.defer(() -> ended[0] ? Flux.empty() : Flux.error(new IOException("no end"))));
+                .concatWith(Flux.defer(
+                        () -> ended[0] ? Flux.empty() : Flux.error(new IOException("the response has no end frame"))));
     }
 
-    private static RefusalException refusal(byte[] body) {
+    private static RefusalException parseRefusal(byte[] body) {
         try {
             Problem p = Json.MAPPER.readValue(body, Problem.class);
-            return new RefusalException(ProblemType.bySlug(p.type()), p.verdict(), p.detail(), COME_BACK);
+            return new RefusalException(ProblemType.bySlug(p.type()), p.verdict(), p.detail(), RETRY_AFTER);
         } catch (IOException | IllegalArgumentException e) {
             return new RefusalException(
-                    ProblemType.TARGET_FAILED, Verdict.MAY_HAVE_RUN, "another failure domain failed", COME_BACK);
+                    ProblemType.TARGET_FAILED,
+                    Verdict.MAY_HAVE_RUN,
+                    "an entry of another failure domain sent an invalid error response",
+                    RETRY_AFTER);
         }
     }
 
-    private static RefusalException broken(Throwable e) {
-        boolean notConnected = e instanceof ConnectException || e instanceof ConnectTimeoutException;
+    private static RefusalException toRefusal(Throwable e) {
+        boolean connectFailed = e instanceof ConnectException || e instanceof ConnectTimeoutException;
         return new RefusalException(
-                notConnected ? ProblemType.TARGET_UNREACHABLE : ProblemType.TARGET_FAILED,
-                notConnected ? Verdict.NOT_RUN : Verdict.MAY_HAVE_RUN,
-                "the link to another failure domain broke",
-                COME_BACK);
+                connectFailed ? ProblemType.TARGET_UNREACHABLE : ProblemType.TARGET_FAILED,
+                connectFailed ? Verdict.NOT_RUN : Verdict.MAY_HAVE_RUN,
+                "the connection to another failure domain failed",
+                RETRY_AFTER);
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/forward/package-info.java
+++ b/entry/src/main/java/org/hallwall/entry/forward/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** Handing requests to other entries: to the one that runs a key, to a key's home, to a domain with a complete group. */
+/** Forwards requests to the owner of an idempotency key, to the key's home domain, or to a domain with a complete group. */
 package org.hallwall.entry.forward;
--- a/integration/src/test/java/org/hallwall/entry/forward/ForwardJsonTypes.java
+++ b/integration/src/test/java/org/hallwall/entry/forward/ForwardJsonTypes.java
@@ -20,7 +20,7 @@
 
 import java.util.Map;
 
-/** The types of this package that a mapper reads or writes by the names of their members. */
+/** The types of this package that are serialized by the names of their members. */
 public final class ForwardJsonTypes {
 
     private ForwardJsonTypes() {}
@@ -28,9 +28,9 @@
     /**
      * Lists the types.
      *
-     * @return the types by what they are
+     * @return the types by description
      */
     public static Map<String, Class<?>> types() {
-        return Map.of("run forwarded to another failure domain", RemoteRun.class);
+        return Map.of("run forwarded to another failure domain", RemoteRunRequest.class);
     }
 }
