--- a/entry/src/main/java/org/hallwall/entry/exchange/ChatMessage.java
+++ b/entry/src/main/java/org/hallwall/entry/exchange/ChatMessage.java
@@ -21,7 +21,7 @@
 /**
  * One message of a conversation.
  *
- * @param role who speaks
- * @param content what is said
+ * @param role the role of the author, such as {@code user}
+ * @param content the text of the message
  */
 public record ChatMessage(String role, String content) {}
--- a/entry/src/main/java/org/hallwall/entry/exchange/ChatRequest.java
+++ b/entry/src/main/java/org/hallwall/entry/exchange/ChatRequest.java
@@ -29,11 +29,11 @@
 import org.hallwall.core.verdict.RefusalException;
 
 /**
- * The body of a chat completion request; members that hallwall does not know are ignored.
+ * The body of a chat completion request; unknown members are ignored.
  *
- * @param model the model as the workspace names it
+ * @param model the name of the model in the workspace
  * @param messages the conversation
- * @param maxTokens the most tokens to generate
+ * @param maxTokens the maximum number of tokens to generate; null for the default
  * @param stream whether the answer is streamed
  */
 public record ChatRequest(
@@ -45,11 +45,11 @@
 
         boolean stream) {
 
-    private static final int USUAL_TOKENS = 256;
-    private static final int MOST_TOKENS = 131_072;
+    private static final int DEFAULT_MAX_TOKENS = 256;
+    private static final int MAX_TOKENS_LIMIT = 131_072;
 
     /**
-     * Reads a body.
+     * Parses and validates a body.
      *
      * @param body the body
      * @return the request
@@ -60,42 +60,42 @@
         try {
             r = Json.MAPPER.readValue(body, ChatRequest.class);
         } catch (JsonProcessingException e) {
-            throw bad("the body is not a chat completion request in JSON");
+            throw badRequest("the body is not a chat completion request in JSON");
         } catch (IOException e) {
-            throw bad("the body cannot be read");
+            throw badRequest("the body cannot be read");
         }
-        check(r);
+        validate(r);
         return r;
     }
 
-    private static void check(ChatRequest r) throws RefusalException {
+    private static void validate(ChatRequest r) throws RefusalException {
         if (r == null || r.model() == null || r.model().isBlank()) {
-            throw bad("model is missing");
+            throw badRequest("model is missing");
         }
         if (r.messages() == null || r.messages().isEmpty()) {
-            throw bad("messages are missing");
+            throw badRequest("messages are missing");
         }
         for (ChatMessage m : r.messages()) {
             if (m == null || m.role() == null || m.content() == null) {
-                throw bad("each message needs a role and a content of text");
+                throw badRequest("each message needs a role and a content of text");
             }
         }
-        if (r.maxTokens() != null && (r.maxTokens() < 1 || r.maxTokens() > MOST_TOKENS)) {
-            throw bad("max_tokens must be from 1 to " + MOST_TOKENS);
+        if (r.maxTokens() != null && (r.maxTokens() < 1 || r.maxTokens() > MAX_TOKENS_LIMIT)) {
+            throw badRequest("max_tokens must be from 1 to " + MAX_TOKENS_LIMIT);
         }
     }
 
     /**
-     * Gives the most tokens to generate.
+     * Returns the maximum number of tokens to generate.
      *
-     * @return the number asked for, or the usual one
+     * @return the requested maximum, or the default
      */
     public int tokenLimit() {
-        return maxTokens == null ? USUAL_TOKENS : maxTokens;
+        return maxTokens == null ? DEFAULT_MAX_TOKENS : maxTokens;
     }
 
     /**
-     * Joins the conversation to one prompt.
+     * Joins the messages to a single prompt.
      *
      * @return the prompt
      */
@@ -107,7 +107,7 @@
         return out.toString();
     }
 
-    private static RefusalException bad(String detail) {
+    private static RefusalException badRequest(String detail) {
         return new RefusalException(ProblemType.BAD_REQUEST, detail);
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/exchange/Exchange.java
+++ b/entry/src/main/java/org/hallwall/entry/exchange/Exchange.java
@@ -30,9 +30,9 @@
 import org.hallwall.resource.WorkspaceSpec;
 
 /**
- * One request of a caller on its way through the filters.
+ * The state of one request while it passes the filters, the queue and its attempts.
  *
- * <p>Each filter fills in what it finds out. It is used by one thread at a time.
+ * <p>Filters add the workspace and the route. Not thread-safe, except for {@link #isDispatched()}.
  */
 public final class Exchange {
 
@@ -54,10 +54,10 @@
      * Creates the exchange.
      *
      * @param headers the headers
-     * @param chat the body; null for a call of a plain service
+     * @param chat the chat completion request; null for a service request
      * @param repeatable whether the request may run more than once
-     * @param receivedAt the clock
-     * @param deadlineMillis how long the caller waits
+     * @param receivedAt the time of arrival, by the monotonic clock
+     * @param deadlineMillis the time from arrival to the deadline, in milliseconds
      */
     public Exchange(
             RequestHeaders headers, ChatRequest chat, boolean repeatable, long receivedAt, long deadlineMillis) {
@@ -69,7 +69,7 @@
     }
 
     /**
-     * Gives the id of the request.
+     * Returns the id of the request.
      *
      * @return the id
      */
@@ -78,7 +78,7 @@
     }
 
     /**
-     * Gives the headers.
+     * Returns the headers.
      *
      * @return the headers
      */
@@ -87,36 +87,36 @@
     }
 
     /**
-     * Gives the body of a chat completion request.
+     * Returns the chat completion request.
      *
-     * @return the body; null for a call of a plain service
+     * @return the request; null for a service request
      */
     public ChatRequest chat() {
         return chat;
     }
 
     /**
-     * Gives the time of arrival.
+     * Returns the time of arrival.
      *
-     * @return the clock
+     * @return milliseconds of the monotonic clock
      */
     public long receivedAt() {
         return receivedAt;
     }
 
     /**
-     * Gives the deadline.
+     * Returns the deadline.
      *
-     * @return the clock
+     * @return milliseconds of the monotonic clock
      */
     public long deadlineAt() {
         return deadlineAt;
     }
 
     /**
-     * Says whether the request may run more than once.
+     * Returns whether the request may run more than once.
      *
-     * @return true if it may
+     * @return true if it is repeatable
      */
     public boolean isRepeatable() {
         return repeatable;
@@ -134,7 +134,7 @@
     }
 
     /**
-     * Gives the workspace.
+     * Returns the workspace.
      *
      * @return the workspace
      */
@@ -143,7 +143,7 @@
     }
 
     /**
-     * Gives the declaration of the workspace.
+     * Returns the declaration of the workspace.
      *
      * @return the declaration
      */
@@ -152,7 +152,7 @@
     }
 
     /**
-     * Sets where the request is routed.
+     * Sets the route of the request.
      *
      * @param id the model group
      * @param adapterName the adapter; null for none
@@ -163,7 +163,7 @@
     }
 
     /**
-     * Gives the model group.
+     * Returns the model group.
      *
      * @return the model group
      */
@@ -172,7 +172,7 @@
     }
 
     /**
-     * Gives the adapter.
+     * Returns the adapter.
      *
      * @return the adapter; null for none
      */
@@ -181,7 +181,7 @@
     }
 
     /**
-     * Notes a failed attempt.
+     * Records a failed attempt on a group.
      *
      * @param group the group that failed
      * @param attempt the verdict of the attempt
@@ -192,7 +192,7 @@
     }
 
     /**
-     * Adds the verdict of a failed attempt.
+     * Combines the verdict of a failed attempt with those of earlier attempts.
      *
      * @param attempt the verdict
      */
@@ -201,33 +201,33 @@
     }
 
     /**
-     * Says whether an attempt on a group has failed.
+     * Returns whether an attempt on a group has failed.
      *
      * @param group the group
-     * @return true if one has
+     * @return true if at least one failed
      */
     public boolean hasFailedOn(GroupId group) {
         return failedGroups.contains(group);
     }
 
     /**
-     * Gives the verdict of the attempts so far.
+     * Returns the combined verdict of the attempts so far.
      *
-     * @return the verdict
+     * @return the verdict; {@code NOT_RUN} before the first attempt
      */
     public Verdict verdict() {
         return verdict;
     }
 
-    /** Notes that an attempt has been made. */
+    /** Marks the request as dispatched to a target or another entry. */
     public void markDispatched() {
         dispatched = true;
     }
 
     /**
-     * Says whether an attempt has been made.
+     * Returns whether the request was dispatched.
      *
-     * @return true if one has
+     * @return true after the first attempt started
      */
     public boolean isDispatched() {
         return dispatched;
--- a/entry/src/main/java/org/hallwall/entry/exchange/RequestFilter.java
+++ b/entry/src/main/java/org/hallwall/entry/exchange/RequestFilter.java
@@ -20,15 +20,15 @@
 
 import org.hallwall.core.verdict.RefusalException;
 
-/** One step of the path of a request that needs no waiting. */
+/** A non-blocking processing step of a request before it is queued. */
 @FunctionalInterface
 public interface RequestFilter {
 
     /**
-     * Takes the step.
+     * Processes a request.
      *
      * @param x the request
-     * @throws RefusalException if the request is refused here; it has not run
+     * @throws RefusalException if the request is refused; it has not run
      */
     void apply(Exchange x) throws RefusalException;
 }
--- a/entry/src/main/java/org/hallwall/entry/exchange/RequestHeaders.java
+++ b/entry/src/main/java/org/hallwall/entry/exchange/RequestHeaders.java
@@ -23,14 +23,14 @@
 import org.hallwall.core.verdict.RefusalException;
 
 /**
- * The headers of a request that say how to treat it.
+ * The request headers that hallwall interprets.
  *
- * @param authorization the value that names the workspace
- * @param idempotencyKey the caller's key; null if none
- * @param repeatable whether the request may run more than once; null if the caller does not say
+ * @param authorization the credentials that identify the workspace; null if absent
+ * @param idempotencyKey the idempotency key; null if absent
+ * @param repeatable whether the request may run more than once; null if absent
  * @param priority the priority
- * @param deadlineMillis how long the caller waits; zero if it does not say
- * @param hops how often the request was forwarded between failure domains
+ * @param deadlineMillis the time to the deadline, in milliseconds; zero if absent
+ * @param hops the number of times the request was forwarded between entries
  */
 public record RequestHeaders(
         String authorization,
@@ -40,52 +40,52 @@
         long deadlineMillis,
         int hops) {
 
-    /** Names the caller's idempotency key. */
+    /** The idempotency key of the request. */
     public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
-    /** Says whether a request may run more than once. */
+    /** Whether the request may run more than once. */
     public static final String REPEATABLE = "Hallwall-Repeatable";
 
-    /** Gives the priority. */
+    /** The priority of the request. */
     public static final String PRIORITY = "Hallwall-Priority";
 
-    /** Says how many milliseconds the caller waits. */
+    /** The time to the deadline, in milliseconds. */
     public static final String DEADLINE = "Hallwall-Deadline-Ms";
 
-    /** Counts how often a request was forwarded. */
+    /** The number of times the request was forwarded. */
     public static final String HOPS = "Hallwall-Hops";
 
-    /** Carries the id of the request in the reply. */
+    /** The id of the request, in the response. */
     public static final String REQUEST_ID = "Hallwall-Request-Id";
 
-    private static final int MAX_KEY = 200;
+    private static final int MAX_KEY_LENGTH = 200;
     private static final long MAX_DEADLINE_MILLIS = 3_600_000;
 
     /**
-     * Reads the headers.
+     * Parses the headers of a request.
      *
-     * @param headers the headers
-     * @return what they say
+     * @param headers the HTTP headers
+     * @return the parsed headers
      * @throws RefusalException if a value is malformed
      */
     public static RequestHeaders read(HttpHeaders headers) throws RefusalException {
         return new RequestHeaders(
                 headers.get("Authorization"),
-                key(headers.get(IDEMPOTENCY_KEY)),
-                repeatable(headers.get(REPEATABLE)),
+                parseKey(headers.get(IDEMPOTENCY_KEY)),
+                parseRepeatable(headers.get(REPEATABLE)),
                 RequestPriority.parse(headers.get(PRIORITY)),
-                deadline(headers.get(DEADLINE)),
+                parseDeadline(headers.get(DEADLINE)),
                 headers.getInt(HOPS, 0));
     }
 
-    private static String key(String text) throws RefusalException {
-        if (text != null && (text.isBlank() || text.length() > MAX_KEY)) {
+    private static String parseKey(String text) throws RefusalException {
+        if (text != null && (text.isBlank() || text.length() > MAX_KEY_LENGTH)) {
             throw new RefusalException(ProblemType.BAD_REQUEST, IDEMPOTENCY_KEY + " must have 1 to 200 characters");
         }
         return text;
     }
 
-    private static Boolean repeatable(String text) throws RefusalException {
+    private static Boolean parseRepeatable(String text) throws RefusalException {
         if (text == null) {
             return null;
         }
@@ -95,7 +95,7 @@
         return Boolean.valueOf(text);
     }
 
-    private static long deadline(String text) throws RefusalException {
+    private static long parseDeadline(String text) throws RefusalException {
         if (text == null) {
             return 0;
         }
@@ -105,7 +105,7 @@
                 return millis;
             }
         } catch (NumberFormatException e) {
-            // refused below
+            // handled as an invalid value below
         }
         throw new RefusalException(
                 ProblemType.BAD_REQUEST, DEADLINE + " must be a number of milliseconds above 0, at most 3600000");
--- a/entry/src/main/java/org/hallwall/entry/exchange/RequestPriority.java
+++ b/entry/src/main/java/org/hallwall/entry/exchange/RequestPriority.java
@@ -23,11 +23,11 @@
 
 /** The priority of a request. */
 public enum RequestPriority {
-    /** Served when there is room, but never starved out. */
+    /** Lowest weight, but not starved by higher priorities. */
     LOW(1),
-    /** The usual priority. */
+    /** The default priority. */
     NORMAL(4),
-    /** Served first. */
+    /** Highest weight. */
     HIGH(16);
 
     private final int weight;
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Gives the share of turns that this priority gets while all have requests waiting.
+     * Returns the weight of this priority in weighted round-robin queueing.
      *
      * @return the weight
      */
@@ -46,11 +46,11 @@
     }
 
     /**
-     * Reads the value of the header.
+     * Parses the value of the priority header.
      *
-     * @param text the value; null means normal
+     * @param text the value, in any case; null for the default
      * @return the priority
-     * @throws RefusalException if the value is none of the three
+     * @throws RefusalException if the value is not a priority
      */
     public static RequestPriority parse(String text) throws RefusalException {
         if (text == null) {
--- a/entry/src/main/java/org/hallwall/entry/exchange/package-info.java
+++ b/entry/src/main/java/org/hallwall/entry/exchange/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** A caller's request as the filters hand it on. */
+/** The parsed request, its headers and its state during processing. */
 package org.hallwall.entry.exchange;
