--- a/entry/src/main/java/org/hallwall/entry/peer/AnnouncementRelay.java
+++ b/entry/src/main/java/org/hallwall/entry/peer/AnnouncementRelay.java
@@ -35,52 +35,52 @@
 import org.hallwall.domain.TargetDirectory;
 import org.hallwall.engine.Announcement;
 
-/** Passes the announcements that targets make here on to the other entries, in batches. */
+/** Relays the announcements of targets to the other entries of the failure domain, in batches. */
 public final class AnnouncementRelay implements Closeable {
 
-    private static final int RING = 8_192;
-    private static final long BATCH_MILLIS = 100;
+    private static final int QUEUE_CAPACITY = 8_192;
+    private static final long BATCH_INTERVAL_MILLIS = 100;
 
     private final TargetDirectory directory;
     private final EntryPeers peers;
     private final Ticker ticker;
-    private final DutyThread duty;
-    private final Map<InstanceId, KnownTarget> waiting = new LinkedHashMap<>();
-    private final Map<InstanceId, Whole> passedOn = new HashMap<>();
+    private final DutyThread eventLoop;
+    private final Map<InstanceId, KnownTarget> pending = new LinkedHashMap<>();
+    private final Map<InstanceId, FullAnnouncement> lastFullByTarget = new HashMap<>();
 
     /**
-     * Creates the relay; {@link #start()} starts it.
+     * Creates the relay; call {@link #start()} to run it.
      *
-     * @param directory where announcements go
+     * @param directory the directory to update
      * @param peers the other entries
-     * @param ticker the clock
+     * @param ticker the monotonic clock
      */
     public AnnouncementRelay(TargetDirectory directory, EntryPeers peers, Ticker ticker) {
         this.directory = directory;
         this.peers = peers;
         this.ticker = ticker;
-        this.duty = new DutyThread("announcements", RING, BATCH_MILLIS, this::passOn);
+        this.eventLoop = new DutyThread("announcements", QUEUE_CAPACITY, BATCH_INTERVAL_MILLIS, this::flush);
     }
 
     /** Starts the thread. */
     public void start() {
-        duty.start();
+        eventLoop.start();
     }
 
     /**
-     * Takes the announcement of a target.
+     * Records the announcement of a target and queues it for the other entries.
      *
      * @param a the announcement
      */
     public void take(Announcement a) {
         if (directory.take(a, 0)) {
             KnownTarget t = new KnownTarget(a, ticker.millis());
-            duty.offer(() -> waiting.put(a.instance(), t));
+            eventLoop.offer(() -> pending.put(a.instance(), t));
         }
     }
 
     /**
-     * Takes announcements that another entry passes on.
+     * Records announcements that another entry relayed.
      *
      * @param relayed the announcements
      */
@@ -94,58 +94,58 @@
     }
 
     /**
-     * Gives the state of the ring.
+     * Returns the state of the event loop.
      *
      * @return the state
      */
     public DutyState dutyState() {
-        return duty.state();
+        return eventLoop.state();
     }
 
     @Override
     public void close() {
-        duty.close();
+        eventLoop.close();
     }
 
-    private void passOn() {
+    private void flush() {
         directory.beat();
-        if (waiting.isEmpty()) {
+        if (pending.isEmpty()) {
             return;
         }
         long now = ticker.millis();
-        List<DomainMessage.Aged> whole = new ArrayList<>();
-        List<DomainMessage.Repeat> repeats = new ArrayList<>();
-        for (KnownTarget t : waiting.values()) {
+        List<DomainMessage.Aged> full = new ArrayList<>();
+        List<DomainMessage.Repeat> updates = new ArrayList<>();
+        for (KnownTarget t : pending.values()) {
             Announcement a = t.announcement();
-            int content = a.contentHash();
-            if (mayRepeat(a.instance(), content, now)) {
-                repeats.add(repeat(t, content, now));
+            int contentHash = a.contentHash();
+            if (canSendUpdate(a.instance(), contentHash, now)) {
+                updates.add(createUpdate(t, contentHash, now));
             } else {
-                whole.add(new DomainMessage.Aged(a, now - t.heardAt()));
-                passedOn.put(a.instance(), new Whole(content, now));
+                full.add(new DomainMessage.Aged(a, now - t.heardAt()));
+                lastFullByTarget.put(a.instance(), new FullAnnouncement(contentHash, now));
             }
         }
-        waiting.clear();
-        DomainMessage.Relayed message = new DomainMessage.Relayed(whole, repeats);
+        pending.clear();
+        DomainMessage.Relayed message = new DomainMessage.Relayed(full, updates);
         peers.others().forEach(o -> peers.send(o, message));
     }
 
-    private boolean mayRepeat(InstanceId target, int content, long now) {
-        Whole last = passedOn.get(target);
-        return last != null && last.content == content && now - last.at < DomainTiming.WHOLE_EVERY_MILLIS;
+    private boolean canSendUpdate(InstanceId target, int contentHash, long now) {
+        FullAnnouncement last = lastFullByTarget.get(target);
+        return last != null && last.contentHash == contentHash && now - last.sentAt < DomainTiming.WHOLE_EVERY_MILLIS;
     }
 
-    private static DomainMessage.Repeat repeat(KnownTarget t, int content, long now) {
+    private static DomainMessage.Repeat createUpdate(KnownTarget t, int contentHash, long now) {
         Announcement a = t.announcement();
         return new DomainMessage.Repeat(
                 a.instance(),
-                content,
+                contentHash,
                 a.sequence(),
                 a.load().running(),
                 a.load().queued(),
                 (int) (now - t.heardAt()));
     }
 
-    /** What was last passed on whole of a target, and when. */
-    private record Whole(int content, long at) {}
+    /** The last full announcement of a target that was relayed. */
+    private record FullAnnouncement(int contentHash, long sentAt) {}
 }
--- a/entry/src/main/java/org/hallwall/entry/peer/AnnouncementServer.java
+++ b/entry/src/main/java/org/hallwall/entry/peer/AnnouncementServer.java
@@ -39,7 +39,7 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** The port where targets announce themselves. */
+/** HTTP server for the announcements of targets and the run requests of other failure domains. */
 public final class AnnouncementServer implements Closeable {
 
     private static final ObjectReader READER = Json.MAPPER.readerFor(Announcement.class);
@@ -51,11 +51,11 @@
     private DisposableServer server;
 
     /**
-     * Creates the server; {@link #open} opens its port.
+     * Creates the server; call {@link #open} to bind its port.
      *
      * @param domain the failure domain of this entry
-     * @param relay takes the announcements
-     * @param remoteRuns takes runs of other failure domains on the same port
+     * @param relay receives the announcements
+     * @param remoteRuns serves the run requests of other failure domains
      */
     public AnnouncementServer(FailureDomainId domain, AnnouncementRelay relay, RemoteRunServer remoteRuns) {
         this.domain = domain;
@@ -64,10 +64,10 @@
     }
 
     /**
-     * Opens the port.
+     * Binds the port.
      *
-     * @param address where to listen
-     * @throws ProgramException if the port cannot be opened
+     * @param address the address to bind
+     * @throws ProgramException if the address cannot be bound
      */
     public void open(NetAddress address) throws ProgramException {
         HttpServer http = HttpServer.create()
@@ -75,16 +75,16 @@
                 .port(address.port())
                 .httpRequestDecoder(d -> d.maxHeaderSize(MAX_BYTES))
                 .route(routes -> {
-                    routes.post(EnginePaths.ANNOUNCEMENTS, this::take);
+                    routes.post(EnginePaths.ANNOUNCEMENTS, this::receive);
                     remoteRuns.addRoutes(routes);
                 });
         server = HttpPorts.bind(http, address);
     }
 
     /**
-     * Gives the port that is open.
+     * Returns the bound port.
      *
-     * @return the port
+     * @return the port number
      */
     public int port() {
         return server.port();
@@ -95,27 +95,27 @@
         server.disposeNow();
     }
 
-    private Publisher<Void> take(HttpServerRequest req, HttpServerResponse res) {
+    private Publisher<Void> receive(HttpServerRequest req, HttpServerResponse res) {
         if (req.requestHeaders().getInt("Content-Length", 0) > MAX_BYTES) {
-            return refuse(res, "the announcement is too large");
+            return reject(res, "the announcement is too large");
         }
-        return req.receive().aggregate().asByteArray().flatMap(bytes -> Mono.from(take(bytes, res)));
+        return req.receive().aggregate().asByteArray().flatMap(bytes -> Mono.from(receive(bytes, res)));
     }
 
-    private Publisher<Void> take(byte[] bytes, HttpServerResponse res) {
+    private Publisher<Void> receive(byte[] bytes, HttpServerResponse res) {
         try {
             Announcement a = READER.readValue(bytes);
             if (!a.failureDomain().equals(domain)) {
-                return refuse(res, "this entry is of failure domain " + domain);
+                return reject(res, "this entry belongs to failure domain " + domain);
             }
             relay.take(a);
             return HttpReplies.json(res, 200, Map.of("taken", true));
         } catch (IOException | IllegalArgumentException e) {
-            return refuse(res, "the announcement is malformed");
+            return reject(res, "the announcement is malformed");
         }
     }
 
-    private static Publisher<Void> refuse(HttpServerResponse res, String reason) {
+    private static Publisher<Void> reject(HttpServerResponse res, String reason) {
         return HttpReplies.json(res, 400, Map.of("taken", false, "reason", reason));
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/peer/DeclarationFollower.java
+++ b/entry/src/main/java/org/hallwall/entry/peer/DeclarationFollower.java
@@ -32,62 +32,62 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Follows the declarations at a voter, at another one when the first is silent or behind, and at an entry of the
- * failure domain when no voter answers.
+ * Watches the declarations at a voter and updates the cache. Switches to the next voter if one fails or is behind, and
+ * alternates with the entries of the failure domain while no voter replies and the cache is empty.
  */
 public final class DeclarationFollower implements Closeable {
 
     private static final Logger LOG = Logger.getLogger(DeclarationFollower.class);
-    private static final long WAIT_MILLIS = 3_000;
+    private static final long LONG_POLL_MILLIS = 3_000;
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
-    private static final Duration PAUSE = Duration.ofMillis(100);
-    private static final long OLD_AFTER_MILLIS = 8_000;
+    private static final Duration RETRY_DELAY = Duration.ofMillis(100);
+    private static final long STALE_AFTER_MILLIS = 8_000;
 
     private final DeclarationCache cache;
     private final List<PeerLink> voters;
     private final List<PeerLink> entries;
     private final Ticker ticker;
-    private volatile long voterHeardAt = Long.MIN_VALUE;
-    private int at;
+    private volatile long lastVoterReplyAt = Long.MIN_VALUE;
+    private int sourceIndex;
     private Disposable loop;
 
     /**
-     * Creates the follower; {@link #start()} starts it.
+     * Creates the follower; call {@link #start()} to run it.
      *
-     * @param cache where the declarations go
+     * @param cache the cache to update
      * @param voters the links to the voters
      * @param entries the links to the other entries of the failure domain
-     * @param first the number of the voter to ask first
-     * @param ticker the clock
+     * @param first the index of the voter to watch first
+     * @param ticker the monotonic clock
      */
     public DeclarationFollower(
             DeclarationCache cache, List<PeerLink> voters, List<PeerLink> entries, int first, Ticker ticker) {
         this.cache = cache;
         this.voters = voters;
         this.entries = entries;
-        this.at = first;
+        this.sourceIndex = first;
         this.ticker = ticker;
     }
 
-    /** Starts to follow. */
+    /** Starts to watch the declarations. */
     public void start() {
-        loop = Mono.defer(this::askOnce)
+        loop = Mono.defer(this::watchOnce)
                 .onErrorResume(e -> {
-                    LOG.warnf("entry: a watch of the declarations failed, %s", e.getMessage());
-                    return Mono.delay(PAUSE).then();
+                    LOG.warnf("entry: watching the declarations failed, %s", e.getMessage());
+                    return Mono.delay(RETRY_DELAY).then();
                 })
                 .repeat()
                 .subscribe();
     }
 
     /**
-     * Says whether the declarations may be old.
+     * Returns whether the declarations may be stale.
      *
-     * @return true if no voter has answered lately
+     * @return true if no voter that is up to date replied within the last seconds
      */
     public boolean mayBeOld() {
-        long heard = voterHeardAt;
-        return heard == Long.MIN_VALUE || ticker.millis() - heard > OLD_AFTER_MILLIS;
+        long lastReplyAt = lastVoterReplyAt;
+        return lastReplyAt == Long.MIN_VALUE || ticker.millis() - lastReplyAt > STALE_AFTER_MILLIS;
     }
 
     @Override
@@ -97,28 +97,28 @@
         }
     }
 
-    private Mono<Void> askOnce() {
-        boolean askEntries = mayBeOld() && cache.current().version() == 0 && !entries.isEmpty() && at % 2 == 1;
-        List<PeerLink> sources = askEntries ? entries : voters;
-        PeerLink source = sources.get(Math.floorMod(at, sources.size()));
+    private Mono<Void> watchOnce() {
+        boolean useEntries = mayBeOld() && cache.current().version() == 0 && !entries.isEmpty() && sourceIndex % 2 == 1;
+        List<PeerLink> sources = useEntries ? entries : voters;
+        PeerLink source = sources.get(Math.floorMod(sourceIndex, sources.size()));
         long after = cache.current().version();
-        return source.call(new Watch(after, WAIT_MILLIS), TIMEOUT)
+        return source.call(new Watch(after, LONG_POLL_MILLIS), TIMEOUT)
                 .cast(Changes.class)
-                .flatMap(c -> take(c, askEntries))
-                .onErrorResume(e -> next());
+                .flatMap(c -> applyChanges(c, useEntries))
+                .onErrorResume(e -> switchSource());
     }
 
-    private Mono<Void> take(Changes changes, boolean fromEntry) {
+    private Mono<Void> applyChanges(Changes changes, boolean fromEntry) {
         boolean behind = changes.version() < cache.current().version();
         cache.take(changes);
         if (!fromEntry && !behind) {
-            voterHeardAt = ticker.millis();
+            lastVoterReplyAt = ticker.millis();
         }
-        return behind || fromEntry ? next() : Mono.empty();
+        return behind || fromEntry ? switchSource() : Mono.empty();
     }
 
-    private Mono<Void> next() {
-        at++;
-        return Mono.delay(PAUSE).then();
+    private Mono<Void> switchSource() {
+        sourceIndex++;
+        return Mono.delay(RETRY_DELAY).then();
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/peer/EntryPeers.java
+++ b/entry/src/main/java/org/hallwall/entry/peer/EntryPeers.java
@@ -40,7 +40,7 @@
 import org.hallwall.wire.PeerTraffic;
 import reactor.core.publisher.Mono;
 
-/** The links of an entry to the voters and to the other entries of its failure domain. */
+/** The connections of an entry to the voters and to the other entries of its failure domain. */
 public final class EntryPeers implements DomainPeers, ClaimPeers, Closeable {
 
     private static final Duration FORM_TIMEOUT = Duration.ofSeconds(5);
@@ -48,18 +48,18 @@
     private final InstanceId self;
     private final Map<InstanceId, PeerLink> entries = new LinkedHashMap<>();
     private final Map<InstanceId, PeerLink> voters = new LinkedHashMap<>();
-    private final Consumer<PeerMessage> toSelf;
+    private final Consumer<PeerMessage> localReceiver;
 
     /**
-     * Creates the links; they start to connect at once.
+     * Creates the links and starts to connect them.
      *
-     * @param settings the settings
-     * @param codec the codec
-     * @param toSelf takes the messages that this process sends to itself
+     * @param settings the settings of the entry
+     * @param codec the codec of peer messages
+     * @param localReceiver receives the messages that this entry sends to itself
      */
-    public EntryPeers(EntrySettings settings, PeerCodec codec, Consumer<PeerMessage> toSelf) {
+    public EntryPeers(EntrySettings settings, PeerCodec codec, Consumer<PeerMessage> localReceiver) {
         this.self = settings.instance();
-        this.toSelf = toSelf;
+        this.localReceiver = localReceiver;
         for (EntrySettings.Peer p : settings.domainEntries()) {
             if (!p.instance().equals(self)) {
                 entries.put(p.instance(), new PeerLink(p.peer(), settings.fleet(), self, codec));
@@ -78,7 +78,7 @@
     @Override
     public void send(InstanceId to, PeerMessage message) {
         if (to.equals(self)) {
-            toSelf.accept(message);
+            localReceiver.accept(message);
             return;
         }
         PeerLink link = entries.get(to);
@@ -98,26 +98,26 @@
     }
 
     /**
-     * Asks the voters with which boots the failure domain was first formed.
+     * Proposes the boot ids of the entries to the voters, which record those of the first formation of the domain.
      *
      * @param domain the failure domain
-     * @param boots the boots of its entries now
-     * @return the boots of the first time, or an error if no voter answers
+     * @param boots the current boot ids of its entries; empty to query only
+     * @return the boot ids of the first formation, or an error if no voter knows them
      */
     public Mono<List<String>> formDomain(FailureDomainId domain, List<String> boots) {
-        Mono<List<String>> asked = Mono.error(new IOException("no voter answers"));
+        Mono<List<String>> reply = Mono.error(new IOException("no voter replied"));
         for (PeerLink voter : voters.values()) {
-            asked = asked.onErrorResume(e -> voter.call(new FormDomain(domain, boots), FORM_TIMEOUT)
+            reply = reply.onErrorResume(e -> voter.call(new FormDomain(domain, boots), FORM_TIMEOUT)
                     .cast(FormedDomain.class)
                     .map(FormedDomain::boots)
                     .filter(b -> !b.isEmpty())
                     .switchIfEmpty(Mono.error(e)));
         }
-        return asked;
+        return reply;
     }
 
     /**
-     * Gives the links to the other entries.
+     * Returns the links to the other entries.
      *
      * @return the links
      */
@@ -126,7 +126,7 @@
     }
 
     /**
-     * Gives the links to the voters.
+     * Returns the links to the voters.
      *
      * @return the links
      */
@@ -135,9 +135,9 @@
     }
 
     /**
-     * Counts the entries of the failure domain that can be reached, this one included.
+     * Returns the number of reachable entries of the failure domain, including this one.
      *
-     * @return how many
+     * @return the number of entries
      */
     public int liveEntries() {
         int n = 1;
@@ -148,9 +148,9 @@
     }
 
     /**
-     * Describes the traffic for a dump.
+     * Returns the traffic counters for a diagnostic dump.
      *
-     * @return the traffic sent on each link
+     * @return the traffic of each link by instance id
      */
     public Map<String, PeerTraffic> traffic() {
         Map<String, PeerTraffic> out = new LinkedHashMap<>();
--- a/entry/src/main/java/org/hallwall/entry/peer/package-info.java
+++ b/entry/src/main/java/org/hallwall/entry/peer/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** What an entry exchanges with voters, with the other entries of its failure domain and with targets. */
+/** Communication of an entry with the voters, the other entries of its failure domain and targets. */
 package org.hallwall.entry.peer;
