--- a/cli/src/main/java/org/hallwall/cli/ApiClient.java
+++ b/cli/src/main/java/org/hallwall/cli/ApiClient.java
@@ -35,13 +35,13 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.client.HttpClient;
 
-/** Calls the resource API: one voter after the other until one gives a final answer. */
+/** Client of the resource API that tries each voter in turn until one returns a final response. */
 final class ApiClient {
 
-    private static final int CONNECT_MILLIS = 1_000;
-    private static final Duration TIMEOUT = Duration.ofSeconds(6);
-    private static final Duration PAUSE = Duration.ofMillis(300);
-    private static final int ROUNDS = 6;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+    private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(6);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(300);
+    private static final int MAX_ROUNDS = 6;
 
     private final List<NetAddress> servers;
     private final HttpClient http;
@@ -49,7 +49,7 @@
     ApiClient(List<NetAddress> servers, String key) {
         this.servers = servers;
         this.http = HttpClient.create()
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .headers(h -> {
                     h.set("Content-Type", "application/json");
                     if (key != null) {
@@ -58,43 +58,45 @@
                 });
     }
 
-    ApiReply get(String path) throws ProgramException {
-        return settle(HttpMethod.GET, path, null, null);
+    ApiResponse get(String path) throws ProgramException {
+        return sendWithRetries(HttpMethod.GET, path, null, null);
     }
 
-    /** Sends a change; a resend after a lost answer carries the same change id, so the change is made once. */
-    ApiReply change(HttpMethod method, String path, String body, String changeId) throws ProgramException {
-        return settle(method, path, body, changeId);
+    /** Sends a change. Retries carry the same change id, so that the change is applied at most once. */
+    ApiResponse sendChange(HttpMethod method, String path, String body, String changeId) throws ProgramException {
+        return sendWithRetries(method, path, body, changeId);
     }
 
-    Flux<String> lines(String path) throws ProgramException {
+    Flux<String> streamText(String path) throws ProgramException {
         requireServers();
         return http.get().uri(uri(servers.get(0), path)).responseContent().asString();
     }
 
-    private ApiReply settle(HttpMethod method, String path, String body, String changeId) throws ProgramException {
+    private ApiResponse sendWithRetries(HttpMethod method, String path, String body, String changeId)
+            throws ProgramException {
         requireServers();
-        ApiReply last = null;
-        String fault = "";
-        for (int i = 0; i < ROUNDS * servers.size(); i++) {
+        ApiResponse last = null;
+        String lastError = "";
+        for (int i = 0; i < MAX_ROUNDS * servers.size(); i++) {
             NetAddress server = servers.get(i % servers.size());
             try {
-                last = once(server, method, path, body, changeId).block(TIMEOUT);
-                if (last != null && !last.isUnsettled()) {
+                last = sendOnce(server, method, path, body, changeId).block(ATTEMPT_TIMEOUT);
+                if (last != null && !last.isRetryable()) {
                     return last;
                 }
             } catch (RuntimeException e) {
-                fault = server + ": " + e.getMessage();
+                lastError = server + ": " + e.getMessage();
             }
-            Mono.delay(PAUSE).block();
+            Mono.delay(RETRY_DELAY).block();
         }
         if (last != null) {
             return last;
         }
-        throw new ProgramException(ExitCode.FAILURE, "no voter can be reached, last " + fault);
+        throw new ProgramException(ExitCode.FAILURE, "no voter is reachable, last error: " + lastError);
     }
 
-    private Mono<ApiReply> once(NetAddress server, HttpMethod method, String path, String body, String changeId) {
+    private Mono<ApiResponse> sendOnce(
+            NetAddress server, HttpMethod method, String path, String body, String changeId) {
         byte[] bytes = body == null ? new byte[0] : body.getBytes(StandardCharsets.UTF_8);
         return http.headers(h -> {
                     if (changeId != null) {
@@ -106,7 +108,7 @@
                 .send(Mono.fromSupplier(() -> Unpooled.wrappedBuffer(bytes)))
                 .responseSingle((res, content) -> content.asString()
                         .defaultIfEmpty("")
-                        .map(text -> new ApiReply(res.status().code(), parse(text))));
+                        .map(text -> new ApiResponse(res.status().code(), parse(text))));
     }
 
     private static JsonNode parse(String text) {
--- a/cli/src/main/java/org/hallwall/cli/ApiReply.java
+++ b/cli/src/main/java/org/hallwall/cli/ApiResponse.java
@@ -21,16 +21,16 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * A reply of the resource API.
+ * A response of the resource API.
  *
- * @param status the HTTP status
- * @param body the body
+ * @param status the HTTP status code
+ * @param body the JSON body
  */
-record ApiReply(int status, JsonNode body) {
+record ApiResponse(int status, JsonNode body) {
 
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
-    private static final int SERVER_FAULT = 500;
+    private static final int INTERNAL_SERVER_ERROR = 500;
 
     boolean isOk() {
         return status == OK;
@@ -40,18 +40,18 @@
         return status == NOT_FOUND;
     }
 
-    /** Says whether the outcome is not final: another voter, or a later try, may settle it. */
-    boolean isUnsettled() {
-        return status >= SERVER_FAULT;
+    /** Returns whether the request may succeed on another voter or on a later attempt. */
+    boolean isRetryable() {
+        return status >= INTERNAL_SERVER_ERROR;
     }
 
-    String problem() {
+    String problemText() {
         StringBuilder out = new StringBuilder();
         out.append(body.path("title").asText("HTTP " + status));
         out.append(": ").append(body.path("detail").asText());
         out.append(" [").append(body.path("verdict").asText("?")).append(']');
-        for (JsonNode f : body.path("faults")) {
-            out.append("\n  ").append(f.asText());
+        for (JsonNode fault : body.path("faults")) {
+            out.append("\n  ").append(fault.asText());
         }
         return out.toString();
     }
--- a/cli/src/main/java/org/hallwall/cli/ApplyCommand.java
+++ b/cli/src/main/java/org/hallwall/cli/ApplyCommand.java
@@ -33,44 +33,44 @@
 import org.hallwall.program.ProgramException;
 import org.hallwall.resource.ResourceKind;
 
-/** Declares and deletes resources. */
+/** Implements {@code apply} and {@code delete}. */
 final class ApplyCommand {
 
-    private final CliContext c;
+    private final CliContext context;
 
-    ApplyCommand(CliContext c) {
-        this.c = c;
+    ApplyCommand(CliContext context) {
+        this.context = context;
     }
 
     void run() throws ProgramException {
-        for (JsonNode d : declarations(Path.of(c.arg(0, "FILE")))) {
-            applyOne(d);
+        for (JsonNode declaration : readDeclarations(Path.of(context.requireArg(0, "FILE")))) {
+            applyDeclaration(declaration);
         }
     }
 
     void delete() throws ProgramException {
-        ResourceKind kind = KindNames.parse(c.arg(0, "KIND"));
-        String path = path(kind, c.arg(1, "NAME"));
-        ApiReply current = c.api().get(path);
+        ResourceKind kind = ResourceKindParser.parse(context.requireArg(0, "KIND"));
+        String path = resourcePath(kind, context.requireArg(1, "NAME"));
+        ApiResponse current = context.api().get(path);
         requireOk(current);
         long version = current.body().path("resourceVersion").asLong();
         String changeId = UUID.randomUUID().toString();
-        requireOk(c.api().change(HttpMethod.DELETE, path + "?resourceVersion=" + version, null, changeId));
-        c.out().println(kind.label() + "/" + c.args().get(1) + " deleted");
+        requireOk(context.api().sendChange(HttpMethod.DELETE, path + "?resourceVersion=" + version, null, changeId));
+        context.out().println(kind.label() + "/" + context.args().get(1) + " deleted");
     }
 
-    private void applyOne(JsonNode d) throws ProgramException {
-        ResourceKind kind = ResourceKind.byLabel(d.path("kind").asText());
+    private void applyDeclaration(JsonNode declaration) throws ProgramException {
+        ResourceKind kind = ResourceKind.byLabel(declaration.path("kind").asText());
         if (kind == null) {
-            throw new ProgramException(ExitCode.FAILURE, "there is no kind " + d.path("kind"));
+            throw new ProgramException(ExitCode.FAILURE, "unknown resource kind " + declaration.path("kind"));
         }
-        String name = d.path("name").asText();
-        String path = path(kind, name);
-        ObjectNode body = d.deepCopy();
-        if (!d.has("resourceVersion")) {
-            ApiReply current = c.api().get(path);
-            if (current.isOk() && current.body().path("spec").equals(d.path("spec"))) {
-                c.out().println(kind.label() + "/" + name + " unchanged");
+        String name = declaration.path("name").asText();
+        String path = resourcePath(kind, name);
+        ObjectNode body = declaration.deepCopy();
+        if (!declaration.has("resourceVersion")) {
+            ApiResponse current = context.api().get(path);
+            if (current.isOk() && current.body().path("spec").equals(declaration.path("spec"))) {
+                context.out().println(kind.label() + "/" + name + " unchanged");
                 return;
             }
             body.put(
@@ -78,14 +78,14 @@
                     current.isOk() ? current.body().path("resourceVersion").asLong() : 0);
         }
         String changeId = UUID.randomUUID().toString();
-        ApiReply reply = c.api().change(HttpMethod.PUT, path, body.toString(), changeId);
-        requireOk(reply);
-        c.out()
+        ApiResponse response = context.api().sendChange(HttpMethod.PUT, path, body.toString(), changeId);
+        requireOk(response);
+        context.out()
                 .println(kind.label() + "/" + name + " accepted as version "
-                        + reply.body().path("resourceVersion").asLong());
+                        + response.body().path("resourceVersion").asLong());
     }
 
-    private static List<JsonNode> declarations(Path file) throws ProgramException {
+    private static List<JsonNode> readDeclarations(Path file) throws ProgramException {
         try {
             JsonNode root = Json.COMMENTED.readTree(Files.readString(file));
             List<JsonNode> out = new ArrayList<>();
@@ -100,13 +100,13 @@
         }
     }
 
-    private static String path(ResourceKind kind, String name) {
+    private static String resourcePath(ResourceKind kind, String name) {
         return "/api/v1/" + kind.plural() + "/" + name;
     }
 
-    static void requireOk(ApiReply reply) throws ProgramException {
-        if (!reply.isOk()) {
-            throw new ProgramException(ExitCode.FAILURE, reply.problem());
+    static void requireOk(ApiResponse response) throws ProgramException {
+        if (!response.isOk()) {
+            throw new ProgramException(ExitCode.FAILURE, response.problemText());
         }
     }
 }
--- a/cli/src/main/java/org/hallwall/cli/CheckSettingsCommand.java
+++ b/cli/src/main/java/org/hallwall/cli/CheckSettingsCommand.java
@@ -28,7 +28,7 @@
 import org.hallwall.program.ExitCode;
 import org.hallwall.program.ProgramException;
 
-/** Checks a settings file without starting anything. */
+/** Validates a settings file against the schema of its program. */
 final class CheckSettingsCommand {
 
     private static final Map<String, String> SCHEMAS = Map.of(
@@ -36,23 +36,23 @@
             "control", "/org/hallwall/control/control.schema.json",
             "fake-engine", "/org/hallwall/fakes/fake-engine.schema.json");
 
-    private final CliContext c;
+    private final CliContext context;
 
-    CheckSettingsCommand(CliContext c) {
-        this.c = c;
+    CheckSettingsCommand(CliContext context) {
+        this.context = context;
     }
 
     void run() throws ProgramException {
-        String schema = SCHEMAS.get(c.arg(0, "PROGRAM"));
+        String schema = SCHEMAS.get(context.requireArg(0, "PROGRAM"));
         if (schema == null) {
             throw new ProgramException(ExitCode.WRONG_USE, "PROGRAM must be entry, control or fake-engine");
         }
-        Path file = Path.of(c.arg(1, "FILE"));
+        Path file = Path.of(context.requireArg(1, "FILE"));
         try {
             SettingsReader.read(file, SettingsSchema.load(CheckSettingsCommand.class, schema), JsonNode.class);
         } catch (SettingsException e) {
             throw new ProgramException(ExitCode.FAILURE, e.getMessage());
         }
-        c.out().println("settings are valid");
+        context.out().println("settings are valid");
     }
 }
--- a/cli/src/main/java/org/hallwall/cli/CliCommand.java
+++ b/cli/src/main/java/org/hallwall/cli/CliCommand.java
@@ -21,85 +21,85 @@
 import org.hallwall.program.ProgramException;
 import org.hallwall.program.ProgramVersion;
 
-/** The commands of the client. */
+/** The commands of the client, with their usage and description for the help text. */
 enum CliCommand {
     APPLY("apply FILE", "declare the resources of a file") {
         @Override
-        void run(CliContext c) throws ProgramException {
-            new ApplyCommand(c).run();
+        void run(CliContext context) throws ProgramException {
+            new ApplyCommand(context).run();
         }
     },
     GET("get KIND [NAME]", "print resources with their status") {
         @Override
-        void run(CliContext c) throws ProgramException {
-            new ReadCommands(c).get();
+        void run(CliContext context) throws ProgramException {
+            new ReadCommands(context).get();
         }
     },
     WATCH("watch [VERSION]", "print changes as they are accepted") {
         @Override
-        void run(CliContext c) throws ProgramException {
-            new ReadCommands(c).watch();
+        void run(CliContext context) throws ProgramException {
+            new ReadCommands(context).watch();
         }
     },
-    STATUS("status", "print what serves, what is stranded and which entries hold which version") {
+    STATUS("status", "print the state of model groups, failure domains and entries") {
         @Override
-        void run(CliContext c) throws ProgramException {
-            new StatusCommand(c).run();
+        void run(CliContext context) throws ProgramException {
+            new StatusCommand(context).run();
         }
     },
     DELETE("delete KIND NAME", "delete a resource") {
         @Override
-        void run(CliContext c) throws ProgramException {
-            new ApplyCommand(c).delete();
+        void run(CliContext context) throws ProgramException {
+            new ApplyCommand(context).delete();
         }
     },
     DUMP("dump ADDRESS", "print the state of the process at an admin address") {
         @Override
-        void run(CliContext c) throws ProgramException {
-            new ReadCommands(c).dump();
+        void run(CliContext context) throws ProgramException {
+            new ReadCommands(context).dump();
         }
     },
     CHECK_SETTINGS("check-settings PROGRAM FILE", "check a settings file of hallwall-PROGRAM") {
         @Override
-        void run(CliContext c) throws ProgramException {
-            new CheckSettingsCommand(c).run();
+        void run(CliContext context) throws ProgramException {
+            new CheckSettingsCommand(context).run();
         }
     },
-    EXPLAIN("explain REQUEST-ID FILE...", "print the story of a request from the logs of many processes") {
+    EXPLAIN("explain REQUEST-ID FILE...", "print the log lines of several processes that relate to a request") {
         @Override
-        void run(CliContext c) throws ProgramException {
-            new ExplainCommand(c).run();
+        void run(CliContext context) throws ProgramException {
+            new ExplainCommand(context).run();
         }
     },
     VERSION("version", "print the version") {
         @Override
-        void run(CliContext c) {
-            c.out().println("hallwall " + ProgramVersion.text());
+        void run(CliContext context) {
+            context.out().println("hallwall " + ProgramVersion.text());
         }
     };
 
     private final String usage;
-    private final String purpose;
+    private final String description;
 
-    CliCommand(String usage, String purpose) {
+    CliCommand(String usage, String description) {
         this.usage = usage;
-        this.purpose = purpose;
+        this.description = description;
     }
 
-    abstract void run(CliContext c) throws ProgramException;
+    abstract void run(CliContext context) throws ProgramException;
 
     String usage() {
         return usage;
     }
 
-    String purpose() {
-        return purpose;
+    String description() {
+        return description;
     }
 
     static CliCommand byName(String name) {
-        for (CliCommand c : values()) {
-            if (c.usage.split(" ")[0].equals(name)) {
-                return c;
+        for (CliCommand command : values()) {
+            if (command.usage.split(" ")[0].equals(name)) {
+                return command;
             }
         }
         return null;
--- a/cli/src/main/java/org/hallwall/cli/CliContext.java
+++ b/cli/src/main/java/org/hallwall/cli/CliContext.java
@@ -25,17 +25,17 @@
 import org.hallwall.program.ProgramException;
 
 /**
- * What a command works with.
+ * The input and output of a command.
  *
- * @param args the arguments after the command's name
- * @param api the resource API
- * @param out where answers go
+ * @param args the arguments that follow the command name
+ * @param api the client of the resource API
+ * @param out the standard output
  */
 record CliContext(List<String> args, ApiClient api, PrintStream out) {
 
-    String arg(int i, String what) throws ProgramException {
+    String requireArg(int i, String name) throws ProgramException {
         if (i >= args.size()) {
-            throw new ProgramException(ExitCode.WRONG_USE, what + " is missing");
+            throw new ProgramException(ExitCode.WRONG_USE, name + " is missing");
         }
         return args.get(i);
     }
--- a/cli/src/main/java/org/hallwall/cli/CliMain.java
+++ b/cli/src/main/java/org/hallwall/cli/CliMain.java
@@ -38,7 +38,7 @@
 import org.hallwall.program.ProgramLogs;
 import org.hallwall.program.ProgramVersion;
 
-/** The program {@code hallwall}. */
+/** Entry point of the operator client {@code hallwall}. */
 public final class CliMain {
 
     private static final String SERVERS = "servers";
@@ -47,7 +47,7 @@
     private CliMain() {}
 
     /**
-     * Runs the program.
+     * Runs the client and exits with its exit code.
      *
      * @param args the command line
      */
@@ -57,10 +57,10 @@
     }
 
     /**
-     * Runs the program with the given streams.
+     * Runs the client with the given output streams.
      *
-     * @param out where answers go
-     * @param err where faults go
+     * @param out the standard output
+     * @param err the standard error
      * @param args the command line
      * @return the exit code
      */
@@ -77,7 +77,7 @@
     }
 
     private static ExitCode dispatch(PrintStream out, PrintStream err, CommandLine line) throws ProgramException {
-        List<String> words = line.getArgList();
+        List<String> arguments = line.getArgList();
         if (line.hasOption("help")) {
             printHelp(out);
             return ExitCode.SUCCESS;
@@ -86,13 +86,13 @@
             out.println("hallwall " + ProgramVersion.text());
             return ExitCode.SUCCESS;
         }
-        CliCommand command = words.isEmpty() ? null : CliCommand.byName(words.get(0));
+        CliCommand command = arguments.isEmpty() ? null : CliCommand.byName(arguments.get(0));
         if (command == null) {
             err.println("hallwall: a command is missing or unknown (see --help)");
             return ExitCode.WRONG_USE;
         }
         ApiClient api = new ApiClient(servers(line), key(line));
-        command.run(new CliContext(words.subList(1, words.size()), api, out));
+        command.run(new CliContext(arguments.subList(1, arguments.size()), api, out));
         return ExitCode.SUCCESS;
     }
 
@@ -101,7 +101,7 @@
         List<NetAddress> out = new ArrayList<>();
         if (text != null && !text.isBlank()) {
             for (String part : text.split(",")) {
-                out.add(ReadCommands.address(part.strip()));
+                out.add(ReadCommands.parseAddress(part.strip()));
             }
         }
         return out;
@@ -130,8 +130,8 @@
     private static void printHelp(PrintStream out) {
         out.println("usage: hallwall [--servers HOST:PORT,...] [--key-file FILE] COMMAND");
         out.println();
-        for (CliCommand c : CliCommand.values()) {
-            out.printf("  %-28s %s%n", c.usage(), c.purpose());
+        for (CliCommand command : CliCommand.values()) {
+            out.printf("  %-28s %s%n", command.usage(), command.description());
         }
         out.println();
         out.println("  --servers HOST:PORT,...      the resource API of the voters; else HALLWALL_SERVERS");
--- a/cli/src/main/java/org/hallwall/cli/ExplainCommand.java
+++ b/cli/src/main/java/org/hallwall/cli/ExplainCommand.java
@@ -29,39 +29,39 @@
 import org.hallwall.program.ExitCode;
 import org.hallwall.program.ProgramException;
 
-/** Prints the story of one request from the logs of many processes. */
+/** Prints the log lines of several processes that relate to one request. */
 final class ExplainCommand {
 
-    private final CliContext c;
+    private final CliContext context;
 
-    ExplainCommand(CliContext c) {
-        this.c = c;
+    ExplainCommand(CliContext context) {
+        this.context = context;
     }
 
     void run() throws ProgramException {
-        String id = c.arg(0, "REQUEST-ID");
-        c.arg(1, "FILE");
+        String id = context.requireArg(0, "REQUEST-ID");
+        context.requireArg(1, "FILE");
         List<LogLine> all = new ArrayList<>();
-        for (String file : c.args().subList(1, c.args().size())) {
-            read(Path.of(file), all);
+        for (String file : context.args().subList(1, context.args().size())) {
+            readLines(Path.of(file), all);
         }
-        List<LogLine> story = new RequestStory(id).of(all);
-        if (story.isEmpty()) {
+        List<LogLine> trace = new RequestTrace(id).select(all);
+        if (trace.isEmpty()) {
             throw new ProgramException(ExitCode.FAILURE, "no line of these logs names request " + id);
         }
-        for (LogLine line : story) {
-            c.out().printf("%s  %s  %s  %s%n", line.at(), line.process(), line.part(), line.message());
+        for (LogLine line : trace) {
+            context.out().printf("%s  %s  %s  %s%n", line.timestamp(), line.process(), line.part(), line.message());
         }
     }
 
-    private static void read(Path file, List<LogLine> all) throws ProgramException {
+    private static void readLines(Path file, List<LogLine> all) throws ProgramException {
         try (Stream<String> lines = Files.lines(file)) {
             String name = String.valueOf(file.getFileName());
             lines.map(text -> LogLine.parse(text, name))
                     .filter(line -> line != null)
                     .forEach(all::add);
         } catch (UncheckedIOException e) {
-            throw new ProgramException(ExitCode.FAILURE, file + " is not text");
+            throw new ProgramException(ExitCode.FAILURE, file + " is not valid UTF-8 text");
         } catch (IOException e) {
             throw new ProgramException(ExitCode.FAILURE, file + " cannot be read");
         }
--- a/cli/src/main/java/org/hallwall/cli/LogLine.java
+++ b/cli/src/main/java/org/hallwall/cli/LogLine.java
@@ -26,21 +26,21 @@
 import org.hallwall.core.settings.Json;
 
 /**
- * A structured line of a process's log.
+ * A line of a structured log.
  *
- * @param at when it was written, by the clock of its process
- * @param process who wrote it: the word before the object, else the file's name
- * @param part the part of the program
- * @param message the message
+ * @param timestamp the time at which the line was written, by the clock of its process
+ * @param process the process that wrote the line: the last word before the JSON object, or else the file name
+ * @param part the component that logged the message
+ * @param message the text of the message
  */
-record LogLine(Instant at, String process, String part, String message) {
+record LogLine(Instant timestamp, String process, String part, String message) {
 
     /**
-     * Reads a line.
+     * Parses a line.
      *
-     * @param text the line; collectors may have put the process before the object
-     * @param file the name of its file
-     * @return the line, or null if it is not a structured one
+     * @param text the line; log collectors may prefix the JSON object with the process name
+     * @param file the name of the log file
+     * @return the parsed line, or null if it is not a structured log line
      */
     static LogLine parse(String text, String file) {
         int start = text.indexOf('{');
@@ -52,10 +52,10 @@
             if (json == null || !json.hasNonNull("at") || !json.hasNonNull("message")) {
                 return null;
             }
-            String before = text.substring(0, start).strip();
+            String prefix = text.substring(0, start).strip();
             return new LogLine(
                     Instant.parse(json.get("at").asText()),
-                    before.isEmpty() ? file : before.substring(before.lastIndexOf(' ') + 1),
+                    prefix.isEmpty() ? file : prefix.substring(prefix.lastIndexOf(' ') + 1),
                     json.path("part").asText(),
                     json.get("message").asText());
         } catch (JsonProcessingException | DateTimeParseException e) {
--- a/cli/src/main/java/org/hallwall/cli/ReadCommands.java
+++ b/cli/src/main/java/org/hallwall/cli/ReadCommands.java
@@ -29,38 +29,41 @@
 import org.hallwall.program.ProgramException;
 import org.hallwall.resource.ResourceKind;
 
-/** The commands that only read. */
+/** Implements the read-only commands {@code get}, {@code watch} and {@code dump}. */
 final class ReadCommands {
 
-    private static final Duration LONG = Duration.ofDays(365);
+    private static final Duration WATCH_TIMEOUT = Duration.ofDays(365);
 
-    private final CliContext c;
+    private final CliContext context;
 
-    ReadCommands(CliContext c) {
-        this.c = c;
+    ReadCommands(CliContext context) {
+        this.context = context;
     }
 
     void get() throws ProgramException {
-        ResourceKind kind = KindNames.parse(c.arg(0, "KIND"));
-        String name = c.args().size() > 1 ? "/" + c.args().get(1) : "";
-        ApiReply reply = c.api().get("/api/v1/" + kind.plural() + name);
-        ApplyCommand.requireOk(reply);
-        print(reply.body());
+        ResourceKind kind = ResourceKindParser.parse(context.requireArg(0, "KIND"));
+        String name = context.args().size() > 1 ? "/" + context.args().get(1) : "";
+        ApiResponse response = context.api().get("/api/v1/" + kind.plural() + name);
+        ApplyCommand.requireOk(response);
+        printJson(response.body());
     }
 
     void watch() throws ProgramException {
-        String from = c.args().isEmpty() ? "" : "?from=" + c.args().get(0);
-        c.api().lines("/api/v1/watch" + from).doOnNext(c.out()::print).blockLast(LONG);
+        String from = context.args().isEmpty() ? "" : "?from=" + context.args().get(0);
+        context.api()
+                .streamText("/api/v1/watch" + from)
+                .doOnNext(context.out()::print)
+                .blockLast(WATCH_TIMEOUT);
     }
 
     void dump() throws ProgramException {
-        ApiClient admin = new ApiClient(List.of(address(c.arg(0, "ADDRESS"))), null);
-        ApiReply reply = admin.get("/debug/dump");
-        ApplyCommand.requireOk(reply);
-        print(reply.body());
+        ApiClient admin = new ApiClient(List.of(parseAddress(context.requireArg(0, "ADDRESS"))), null);
+        ApiResponse response = admin.get("/debug/dump");
+        ApplyCommand.requireOk(response);
+        printJson(response.body());
     }
 
-    static NetAddress address(String text) throws ProgramException {
+    static NetAddress parseAddress(String text) throws ProgramException {
         try {
             return NetAddress.parse(text);
         } catch (IllegalArgumentException e) {
@@ -68,11 +71,11 @@
         }
     }
 
-    private void print(JsonNode node) throws ProgramException {
+    private void printJson(JsonNode node) throws ProgramException {
         try {
-            c.out().println(Json.PRETTY.writeValueAsString(node));
+            context.out().println(Json.PRETTY.writeValueAsString(node));
         } catch (JsonProcessingException e) {
-            throw new ProgramException(ExitCode.FAILURE, "the answer cannot be printed");
+            throw new ProgramException(ExitCode.FAILURE, "the response cannot be serialized");
         }
     }
 }
--- a/cli/src/main/java/org/hallwall/cli/KindNames.java
+++ b/cli/src/main/java/org/hallwall/cli/ResourceKindParser.java
@@ -24,19 +24,19 @@
 import org.hallwall.program.ProgramException;
 import org.hallwall.resource.ResourceKind;
 
-/** Reads the names of kinds as people write them. */
-final class KindNames {
+/** Parses the name of a resource kind, singular or plural, ignoring case. */
+final class ResourceKindParser {
 
-    private KindNames() {}
+    private ResourceKindParser() {}
 
     static ResourceKind parse(String text) throws ProgramException {
         String lower = text.toLowerCase(Locale.ROOT);
-        for (ResourceKind k : ResourceKind.values()) {
-            boolean singular = k.label().toLowerCase(Locale.ROOT).equals(lower);
-            if (singular || k.plural().equals(lower)) {
-                return k;
+        for (ResourceKind kind : ResourceKind.values()) {
+            boolean singular = kind.label().toLowerCase(Locale.ROOT).equals(lower);
+            if (singular || kind.plural().equals(lower)) {
+                return kind;
             }
         }
-        throw new ProgramException(ExitCode.WRONG_USE, "there is no kind " + text);
+        throw new ProgramException(ExitCode.WRONG_USE, "unknown resource kind " + text);
     }
 }
--- a/cli/src/main/java/org/hallwall/cli/StatusCommand.java
+++ b/cli/src/main/java/org/hallwall/cli/StatusCommand.java
@@ -26,53 +26,53 @@
 /** Prints the state of the fleet as tables. */
 final class StatusCommand {
 
-    private static final long FRESH_MILLIS = 15_000;
+    private static final long STALE_AFTER_MILLIS = 15_000;
 
-    private final CliContext c;
+    private final CliContext context;
 
-    StatusCommand(CliContext c) {
-        this.c = c;
+    StatusCommand(CliContext context) {
+        this.context = context;
     }
 
     void run() throws ProgramException {
-        ApiReply status = c.api().get("/api/v1/status");
+        ApiResponse status = context.api().get("/api/v1/status");
         ApplyCommand.requireOk(status);
         JsonNode log = status.body().path("log");
-        line(
+        printLine(
                 "leader %s, term %d, version %d",
                 log.path("leader").asText("none"),
                 log.path("term").asLong(),
                 status.body().path("applied").asLong());
-        printGroups(c.api().get("/api/v1/modelgroups"));
+        printGroups(context.api().get("/api/v1/modelgroups"));
         printDomains(status.body().path("domains"));
         printEntries(status.body().path("entries"));
     }
 
-    private void printGroups(ApiReply reply) throws ProgramException {
-        ApplyCommand.requireOk(reply);
-        line("");
-        line("%-24s %9s %9s %9s %14s  %s", "MODEL GROUP", "REPLICAS", "COMPLETE", "CURRENT", "DOWNTIME", "SHARES");
-        for (JsonNode g : reply.body().path("items")) {
-            JsonNode s = g.path("status");
-            line(
+    private void printGroups(ApiResponse response) throws ProgramException {
+        ApplyCommand.requireOk(response);
+        printLine("");
+        printLine("%-24s %9s %9s %9s %14s  %s", "MODEL GROUP", "REPLICAS", "COMPLETE", "CURRENT", "DOWNTIME", "SHARES");
+        for (JsonNode group : response.body().path("items")) {
+            JsonNode status = group.path("status");
+            printLine(
                     "%-24s %9d %9d %9d %12.1f s  %s",
-                    g.path("name").asText(),
-                    g.path("spec").path("replicas").asInt(),
-                    s.path("completeReplicas").asInt(),
-                    s.path("currentReplicas").asInt(),
-                    s.path("downtimeSeconds").asDouble(),
-                    g.path("shares").toString());
+                    group.path("name").asText(),
+                    group.path("spec").path("replicas").asInt(),
+                    status.path("completeReplicas").asInt(),
+                    status.path("currentReplicas").asInt(),
+                    status.path("downtimeSeconds").asDouble(),
+                    group.path("shares").toString());
         }
     }
 
     private void printDomains(JsonNode domains) {
-        line("");
-        line(
+        printLine("");
+        printLine(
                 "%-24s %9s %13s %9s %19s  %s",
                 "FAILURE DOMAIN", "TARGETS", "ACCELERATORS", "STRANDED", "STRANDED SO FAR", "CONTROLLER");
         for (JsonNode d : domains) {
             JsonNode r = d.path("report");
-            line(
+            printLine(
                     "%-24s %9d %13d %9d %15.1f a*s  %s%s",
                     r.path("domain").asText(),
                     r.path("targets").asInt(),
@@ -80,32 +80,32 @@
                     r.path("strandedAccelerators").asInt(),
                     r.path("strandedAcceleratorSeconds").asDouble(),
                     r.path("controller").asText(),
-                    silence(d));
+                    stalenessSuffix(d));
         }
     }
 
     private void printEntries(JsonNode entries) {
-        line("");
-        line("%-24s %-24s %9s  %s", "ENTRY", "FAILURE DOMAIN", "VERSION", "STATE");
+        printLine("");
+        printLine("%-24s %-24s %9s  %s", "ENTRY", "FAILURE DOMAIN", "VERSION", "STATE");
         for (JsonNode e : entries) {
             JsonNode r = e.path("report");
             String state = r.path("mayBeOld").asBoolean() ? "may be old" : "current";
-            line(
+            printLine(
                     "%-24s %-24s %9d  %s%s",
                     r.path("entry").asText(),
                     r.path("domain").asText(),
                     r.path("version").asLong(),
                     state,
-                    silence(e));
+                    stalenessSuffix(e));
         }
     }
 
-    private static String silence(JsonNode heard) {
-        long age = heard.path("ageMillis").asLong();
-        return age < FRESH_MILLIS ? "" : ", silent for " + age / 1_000 + " s";
+    private static String stalenessSuffix(JsonNode report) {
+        long age = report.path("ageMillis").asLong();
+        return age < STALE_AFTER_MILLIS ? "" : ", silent for " + age / 1_000 + " s";
     }
 
-    private void line(String format, Object... args) {
-        c.out().println(String.format(Locale.ROOT, format, args).stripTrailing());
+    private void printLine(String format, Object... args) {
+        context.out().println(String.format(Locale.ROOT, format, args).stripTrailing());
     }
 }
--- a/cli/src/main/java/org/hallwall/cli/package-info.java
+++ b/cli/src/main/java/org/hallwall/cli/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** The operators' client {@code hallwall}. */
+/** The command line client {@code hallwall} for operators. */
 package org.hallwall.cli;
--- a/cli/src/test/java/org/hallwall/cli/ExplainCommandTest.java
+++ b/cli/src/test/java/org/hallwall/cli/ExplainCommandTest.java
@@ -34,7 +34,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The story of a request over the logs of many processes, from a kept log of a played day. */
+/** Checks which log lines {@code hallwall explain} prints for a request. */
 class ExplainCommandTest {
 
     private static final String LOG = "src/test/resources/played-day.log";
@@ -52,15 +52,15 @@
                 args);
     }
 
-    /** A member of the group died; the stream left its head, and the controller found the member 0.2 s later. */
+    /** The stream resumes on another group after its head is lost, before the controller detects the loss. */
     @Test
-    void tellsWhyAStreamMoved() {
+    void explainsResumedStream() {
         Assertions.assertEquals(ExitCode.SUCCESS, run("explain", "490946031101780d", LOG));
         Approvals.verify(out.toString(StandardCharsets.UTF_8));
     }
 
     @Test
-    void linesWithoutAProcessAreNamedByTheirFile() throws IOException {
+    void processDefaultsToFileName() throws IOException {
         Path file = folder.resolve("entry-7.log");
         String line =
                 "{\"at\":\"2026-01-01T00:00:00Z\",\"level\":\"INFO\",\"part\":\"P\",\"message\":\"request a: refused\"}";
@@ -71,57 +71,57 @@
                 out.toString(StandardCharsets.UTF_8).replace("\r\n", "\n"));
     }
 
-    /** Why a request is held back was seen long before it came again, at other processes. */
+    /** Crash lines that led to the hold are included although they are older than the request and name only its digest. */
     @Test
-    void tellsWhyARequestIsHeldBack() throws IOException {
+    void explainsHeldRequest() throws IOException {
         String digest = "a5a06891af0b4b89086baca24b264a2a";
         Path file = folder.resolve("all.log");
         Files.writeString(
                 file,
                 String.join(
                         "\n",
-                        line("00:00:00", "crashes: target i-2/mx has ended under 1 requests: [" + digest + "]"),
-                        line(
+                        jsonLine("00:00:00", "crashes: target i-2/mx has ended under 1 requests: [" + digest + "]"),
+                        jsonLine(
                                 "00:00:01",
                                 "crashes: target i-9/mx has ended under 1 requests: [b" + digest.substring(1) + "]"),
-                        line("00:00:02", "crashes: request " + digest + " is held back: [i-2/mx] ended under it"),
-                        line(
+                        jsonLine("00:00:02", "crashes: request " + digest + " is held back: [i-2/mx] ended under it"),
+                        jsonLine(
                                 "00:30:00",
                                 "request x: refused with 503, NOT_RUN: held back as " + digest + ": [i-2/mx]")));
         Assertions.assertEquals(ExitCode.SUCCESS, run("explain", "x", file.toString()));
-        List<String> story = out.toString(StandardCharsets.UTF_8).lines().toList();
-        Assertions.assertEquals(3, story.size(), story::toString);
-        Assertions.assertTrue(story.get(0).contains("i-2/mx has ended"));
-        Assertions.assertTrue(story.get(1).contains("is held back"));
-        Assertions.assertTrue(story.get(2).contains("refused with 503"));
+        List<String> trace = out.toString(StandardCharsets.UTF_8).lines().toList();
+        Assertions.assertEquals(3, trace.size(), trace::toString);
+        Assertions.assertTrue(trace.get(0).contains("i-2/mx has ended"));
+        Assertions.assertTrue(trace.get(1).contains("is held back"));
+        Assertions.assertTrue(trace.get(2).contains("refused with 503"));
     }
 
-    /** What targets had told this entry is shown, also if it was long before; what they told another one is not. */
+    /** Earlier target notices to the rejecting entry are included; notices to another entry are not. */
     @Test
-    void tellsWhichTargetsAreNotAvailable() throws IOException {
+    void explainsUnavailableTargets() throws IOException {
         Path file = folder.resolve("all.log");
         Files.writeString(
                 file,
                 String.join(
                         "\n",
-                        "e-1 " + line("00:00:00", "targets: i-2/mx backs off for 300000 ms"),
-                        "e-1 " + line("00:04:00", "targets: i-3/mx is draining, nothing more is sent to it"),
-                        "e-1 " + line("00:04:00", "targets: i-5/mx names a rate limit of 2.000 requests/s"),
-                        "e-2 " + line("00:04:01", "targets: i-4/mx backs off for 300000 ms"),
+                        "e-1 " + jsonLine("00:00:00", "targets: i-2/mx backs off for 300000 ms"),
+                        "e-1 " + jsonLine("00:04:00", "targets: i-3/mx is draining, nothing more is sent to it"),
+                        "e-1 " + jsonLine("00:04:00", "targets: i-5/mx names a rate limit of 2.000 requests/s"),
+                        "e-2 " + jsonLine("00:04:01", "targets: i-4/mx backs off for 300000 ms"),
                         "e-1 "
-                                + line(
+                                + jsonLine(
                                         "00:04:30",
                                         "request x: refused with 503, NOT_RUN: no target is left, 0 of 3 are available, 1 are "
                                                 + "rate-limited, the others back off or drain (configuration 7)")));
         Assertions.assertEquals(ExitCode.SUCCESS, run("explain", "x", file.toString()));
-        List<String> story = out.toString(StandardCharsets.UTF_8).lines().toList();
-        Assertions.assertEquals(4, story.size(), story::toString);
-        Assertions.assertTrue(story.get(0).contains("i-2/mx backs off for"));
-        Assertions.assertTrue(story.get(1).contains("i-3/mx is draining"));
-        Assertions.assertTrue(story.get(2).contains("i-5/mx names a rate limit"));
+        List<String> trace = out.toString(StandardCharsets.UTF_8).lines().toList();
+        Assertions.assertEquals(4, trace.size(), trace::toString);
+        Assertions.assertTrue(trace.get(0).contains("i-2/mx backs off for"));
+        Assertions.assertTrue(trace.get(1).contains("i-3/mx is draining"));
+        Assertions.assertTrue(trace.get(2).contains("i-5/mx names a rate limit"));
     }
 
-    private static String line(String time, String message) {
+    private static String jsonLine(String time, String message) {
         return "{\"at\":\"2026-01-01T" + time + "Z\",\"level\":\"INFO\",\"part\":\"P\",\"message\":\"" + message
                 + "\"}";
     }
@@ -133,9 +133,9 @@
         "explain x nowhere.log, FAILURE, nowhere.log cannot be read",
         "explain 49094603 " + LOG + ", FAILURE, no line of these logs names request 49094603"
     })
-    void faultsAreToldPlainly(String command, ExitCode code, String fault) {
+    void reportsErrors(String command, ExitCode code, String error) {
         Assertions.assertEquals(code, run(command.split(" ")));
         Assertions.assertEquals(
-                "hallwall: " + fault, err.toString(StandardCharsets.UTF_8).strip());
+                "hallwall: " + error, err.toString(StandardCharsets.UTF_8).strip());
     }
 }
