--- a/integration/src/test/java/org/hallwall/integration/BadInputTest.java
+++ b/integration/src/test/java/org/hallwall/integration/BadInputTest.java
@@ -38,22 +38,23 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What an entry answers to bad requests and bad bytes, as approved; it is unharmed afterwards. */
+/** Checks that an entry rejects malformed requests and bytes, keeps serving and exposes no credentials. */
 class BadInputTest {
 
     private static final String CHAT = "/v1/chat/completions";
-    private static final String GOOD = "{\"model\": \"m\", \"messages\": [{\"role\": \"user\", \"content\": \"x\"}]}";
+    private static final String VALID_BODY =
+            "{\"model\": \"m\", \"messages\": [{\"role\": \"user\", \"content\": \"x\"}]}";
 
     private static Fleet fleet;
 
     @BeforeAll
     static void start() throws Exception {
-        fleet = new Fleet(FleetPlan.oneDomain()).start();
-        fleet.declare("{\"model\": \"x\", \"version\": \"1\", \"targetsPerReplica\": 2, \"replicas\": 2}");
+        fleet = new Fleet(FleetTopology.oneDomain()).start();
+        fleet.declareResources("{\"model\": \"x\", \"version\": \"1\", \"targetsPerReplica\": 2, \"replicas\": 2}");
         Fleet.await().until(() -> fleet.isReady("e1"));
         Fleet.await()
-                .until(() -> new Caller(fleet.callers("e1"))
-                                .call("GET", "/v1/models", null)
+                .until(() -> new EntryClient(fleet.callersAddress("e1"))
+                                .send("GET", "/v1/models", null)
                                 .status()
                         == 200);
     }
@@ -65,32 +66,36 @@
 
     @Test
     void refusals() throws IOException {
-        Caller caller = new Caller(fleet.callers("e1"));
+        EntryClient caller = new EntryClient(fleet.callersAddress("e1"));
         StringBuilder out = new StringBuilder();
-        add(out, "no key", Http.send("POST", fleet.callers("e1"), CHAT, GOOD, Map.of()));
-        add(out, "wrong key", caller.call("POST", CHAT, GOOD, "Authorization", "Bearer wrong"));
-        add(out, "no JSON", caller.call("POST", CHAT, "{not json"));
-        add(out, "no messages", caller.call("POST", CHAT, "{\"model\": \"m\"}"));
-        add(out, "bad max_tokens", caller.call("POST", CHAT, GOOD.replace("\"m\",", "\"m\", \"max_tokens\": 0,")));
-        add(out, "unknown model", caller.call("POST", CHAT, GOOD.replace("\"m\"", "\"other\"")));
-        add(out, "bad priority", caller.call("POST", CHAT, GOOD, "Hallwall-Priority", "urgent"));
-        add(out, "deadline in the past", caller.call("POST", CHAT, GOOD, "Hallwall-Deadline-Ms", "-5"));
-        add(out, "body too large", caller.call("POST", CHAT, "x".repeat(5 * 1024 * 1024)));
-        add(out, "no complete group", caller.call("POST", CHAT, GOOD));
-        add(out, "unknown service", caller.call("POST", "/services/none/x", "{}"));
-        add(out, "service without targets", caller.call("POST", "/services/booking/x", "{}"));
-        add(out, "unknown path", caller.call("GET", "/nothing", null));
+        describeResponse(out, "no key", HttpCalls.send("POST", fleet.callersAddress("e1"), CHAT, VALID_BODY, Map.of()));
+        describeResponse(out, "wrong key", caller.send("POST", CHAT, VALID_BODY, "Authorization", "Bearer wrong"));
+        describeResponse(out, "no JSON", caller.send("POST", CHAT, "{not json"));
+        describeResponse(out, "no messages", caller.send("POST", CHAT, "{\"model\": \"m\"}"));
+        describeResponse(
+                out,
+                "bad max_tokens",
+                caller.send("POST", CHAT, VALID_BODY.replace("\"m\",", "\"m\", \"max_tokens\": 0,")));
+        describeResponse(out, "unknown model", caller.send("POST", CHAT, VALID_BODY.replace("\"m\"", "\"other\"")));
+        describeResponse(out, "bad priority", caller.send("POST", CHAT, VALID_BODY, "Hallwall-Priority", "urgent"));
+        describeResponse(
+                out, "deadline in the past", caller.send("POST", CHAT, VALID_BODY, "Hallwall-Deadline-Ms", "-5"));
+        describeResponse(out, "body too large", caller.send("POST", CHAT, "x".repeat(5 * 1024 * 1024)));
+        describeResponse(out, "no complete group", caller.send("POST", CHAT, VALID_BODY));
+        describeResponse(out, "unknown service", caller.send("POST", "/services/none/x", "{}"));
+        describeResponse(out, "service without targets", caller.send("POST", "/services/booking/x", "{}"));
+        describeResponse(out, "unknown path", caller.send("GET", "/nothing", null));
         Approvals.verify(out.toString());
     }
 
     @Test
-    void noCredentialShows() throws IOException {
-        Caller caller = new Caller(fleet.callers("e1"));
-        Http.Reply wrong = caller.call("POST", CHAT, GOOD, "Authorization", "Bearer not-the-key-at-all");
+    void credentialsAreNotExposed() throws IOException {
+        EntryClient caller = new EntryClient(fleet.callersAddress("e1"));
+        HttpCalls.Response wrong = caller.send("POST", CHAT, VALID_BODY, "Authorization", "Bearer not-the-key-at-all");
         assertFalse(wrong.text().contains("not-the-key-at-all"));
-        caller.call("POST", CHAT, GOOD);
+        caller.send("POST", CHAT, VALID_BODY);
         for (String process : new String[] {"e1", "v1", "v2", "v3"}) {
-            String shown = fleet.process(process).log() + fleet.dump(process);
+            String shown = fleet.process(process).readLog() + fleet.dump(process);
             assertFalse(shown.contains(Fleet.KEY), process);
             assertFalse(shown.contains("not-the-key-at-all"), process);
         }
@@ -101,25 +106,26 @@
         StringBuilder out = new StringBuilder();
         for (String process : new String[] {"e1", "v1"}) {
             out.append(process.startsWith("e") ? "entry" : "control").append('\n');
-            members(fleet.dump(process), "  ", out);
+            describeMembers(fleet.dump(process), "  ", out);
         }
         Approvals.verify(out.toString());
     }
 
     @Test
-    void badBytesDoNoHarm() throws IOException {
-        NetAddress callers = fleet.callers("e1");
+    void entrySurvivesMalformedBytes() throws IOException {
+        NetAddress callers = fleet.callersAddress("e1");
         sendRaw(callers, "GARBAGE\r\n\r\n");
         sendRaw(callers, "GET / HTTP/1.1\r\nX: " + "y".repeat(100_000) + "\r\n\r\n");
-        sendRaw(fleet.peer("e1"), "\u007f\u007f\u007f\u007fnot a frame");
-        sendRaw(fleet.peer("e1"), "\0\0\0\u0003abc");
-        assertEquals(200, new Caller(callers).call("GET", "/v1/models", null).status());
-        assertTrue(fleet.dump("e1").at("/received/refused").asLong() >= 1, "bad frames are counted");
-        // the last answer reaches the caller before the entry has counted its end
+        sendRaw(fleet.peerAddress("e1"), "\u007f\u007f\u007f\u007fnot a frame");
+        sendRaw(fleet.peerAddress("e1"), "\0\0\0\u0003abc");
+        assertEquals(
+                200, new EntryClient(callers).send("GET", "/v1/models", null).status());
+        assertTrue(fleet.dump("e1").at("/received/refused").asLong() >= 1, "malformed frames are counted");
+        // The entry decrements its counter only after the client has received the response.
         Awaitility.await().until(() -> fleet.dump("e1").path("inFlight").asInt() == 0);
     }
 
-    private static void add(StringBuilder out, String name, Http.Reply r) throws IOException {
+    private static void describeResponse(StringBuilder out, String name, HttpCalls.Response r) throws IOException {
         JsonNode p = r.json();
         out.append(name)
                 .append(": ")
@@ -132,7 +138,7 @@
         assertEquals("application/problem+json", r.contentType(), name);
     }
 
-    private static void members(JsonNode node, String indent, StringBuilder out) {
+    private static void describeMembers(JsonNode node, String indent, StringBuilder out) {
         TreeSet<String> names = new TreeSet<>();
         for (Iterator<String> it = node.fieldNames(); it.hasNext(); ) {
             names.add(it.next());
@@ -141,12 +147,12 @@
             out.append(indent).append(n).append('\n');
             boolean fixed = !n.equals("sent") && !n.equals("admitted") && !n.equals("ordered");
             if (node.path(n).isObject() && fixed) {
-                members(node.path(n), indent + "  ", out);
+                describeMembers(node.path(n), indent + "  ", out);
             }
         }
     }
 
-    /** Sends bytes and waits until the other side has closed the connection or answered. */
+    /** Sends bytes and waits for a response or for the end of the connection. */
     private static void sendRaw(NetAddress address, String text) throws IOException {
         try (Socket s = new Socket(address.host(), address.port())) {
             s.setSoTimeout(5_000);
@@ -154,7 +160,7 @@
             s.getOutputStream().flush();
             s.getInputStream().read();
         } catch (SocketException e) {
-            // A reset is an answer as well.
+            // The peer may reset the connection.
         }
     }
 }
--- a/integration/src/test/java/org/hallwall/integration/ControlFailureTest.java
+++ b/integration/src/test/java/org/hallwall/integration/ControlFailureTest.java
@@ -37,7 +37,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What was accepted stays and is in force everywhere, while voters are killed, frozen, wiped and cut off. */
+/** Checks that accepted changes are durable and reach all entries while voters are killed, suspended, wiped or partitioned. */
 class ControlFailureTest {
 
     private static final String SPEC = "{\"repeatableMethods\": [\"GET\"], \"timeoutMillis\": %d}";
@@ -48,7 +48,7 @@
 
     @BeforeAll
     static void start() throws Exception {
-        fleet = new Fleet(FleetPlan.oneDomain()).start();
+        fleet = new Fleet(FleetTopology.oneDomain()).start();
     }
 
     @AfterAll
@@ -57,7 +57,7 @@
     }
 
     @BeforeEach
-    void settle() throws Exception {
+    void awaitStableControlPlane() throws Exception {
         for (String p : List.of("v1", "v2", "v3", "e1", "e2", "e3")) {
             if (!fleet.process(p).isAlive()) {
                 fleet.process(p).start();
@@ -77,41 +77,43 @@
     }
 
     @Test
-    void operatorsWithEqualVersionsRace() throws Exception {
+    void onlyOneConcurrentUpdateOfAVersionSucceeds() throws Exception {
         long version = put("race", 1);
-        List<CompletableFuture<Http.Reply>> replies = new ArrayList<>();
+        List<CompletableFuture<HttpCalls.Response>> replies = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            String body = FleetApi.body("Service", "race", version, SPEC.formatted(100 + i));
-            replies.add(Http.sendAsync("PUT", api(i % 3), "/api/v1/services/race", body, Map.of()));
+            String body = FleetApi.resourceJson("Service", "race", version, SPEC.formatted(100 + i));
+            replies.add(HttpCalls.sendAsync("PUT", voterApiAddress(i % 3), "/api/v1/services/race", body, Map.of()));
         }
         Map<Integer, Integer> byStatus = new HashMap<>();
-        for (CompletableFuture<Http.Reply> r : replies) {
+        for (CompletableFuture<HttpCalls.Response> r : replies) {
             byStatus.merge(r.join().status(), 1, Integer::sum);
         }
         assertEquals(Map.of(200, 1, 409, 11), byStatus);
     }
 
     @Test
-    void resentChangeHasItsFirstOutcomeAfterTheLeaderIsLost() throws Exception {
+    void resentChangeReturnsOriginalOutcomeAfterLeaderLoss() throws Exception {
         long version = put("resent", 1);
-        String body = FleetApi.body("Service", "resent", version, SPEC.formatted(2));
+        String body = FleetApi.resourceJson("Service", "resent", version, SPEC.formatted(2));
         Map<String, String> id = Map.of("Hallwall-Change-Id", "change-1");
-        Http.Reply first = fleet.api().settle("PUT", "/api/v1/services/resent", body, id);
+        HttpCalls.Response first = fleet.api().sendWithRetries("PUT", "/api/v1/services/resent", body, id);
         assertEquals(200, first.status(), first.text());
         put("resent", 3);
         fleet.process(leaders().get(0)).kill();
-        Http.Reply again = fleet.api().settle("PUT", "/api/v1/services/resent", body, id);
-        assertEquals(200, again.status(), again.text());
-        assertEquals(first.json().path("resourceVersion"), again.json().path("resourceVersion"));
-        assertEquals(3, timeout(fleet.api().get("services", "resent")), "the later change stays");
+        HttpCalls.Response retried = fleet.api().sendWithRetries("PUT", "/api/v1/services/resent", body, id);
+        assertEquals(200, retried.status(), retried.text());
+        assertEquals(first.json().path("resourceVersion"), retried.json().path("resourceVersion"));
+        assertEquals(3, timeout(fleet.api().get("services", "resent")), "the later change is kept");
     }
 
     @Test
-    void newLeaderWithinThreeSecondsAndFrozenOneDoesNotRevert() throws Exception {
+    void newLeaderWithinThreeSecondsAndResumedLeaderDoesNotRevert() throws Exception {
         put("frozen", 1);
         String old = leaders().get(0);
         fleet.process(old).signal("STOP");
-        Fleet.await().atMost(Duration.ofSeconds(3)).until(() -> leadersBut(old).size() == 1);
+        Fleet.await()
+                .atMost(Duration.ofSeconds(3))
+                .until(() -> leadersExcept(old).size() == 1);
         put("frozen", 2);
         fleet.process(old).signal("CONT");
         Fleet.await().until(() -> leaders().size() == 1);
@@ -119,14 +121,14 @@
     }
 
     @Test
-    void withoutQuorumAChangeIsRefusedHonestlyAndEntriesKeepServing() throws Exception {
+    void changeWithoutQuorumIsRejectedAsNotRunAndEntriesKeepServing() throws Exception {
         put("quorum", 1);
-        awaitInForce(version("quorum"));
+        awaitApplied(version("quorum"));
         fleet.process("v1").kill();
         fleet.process("v2").kill();
-        String body = FleetApi.body("Service", "quorum", version("e1"), SPEC.formatted(2));
+        String body = FleetApi.resourceJson("Service", "quorum", version("e1"), SPEC.formatted(2));
         Fleet.await().untilAsserted(() -> {
-            Http.Reply r = fleet.api().at(2, "PUT", "/api/v1/services/quorum", body, Map.of());
+            HttpCalls.Response r = fleet.api().sendTo(2, "PUT", "/api/v1/services/quorum", body, Map.of());
             assertEquals(503, r.status(), r.text());
             assertEquals("NOT_RUN", r.verdict());
             assertTrue(r.retryAfter() != null);
@@ -137,10 +139,10 @@
     }
 
     @Test
-    void wipedDiskIsAdmittedAgainAndNothingIsLost() throws Exception {
+    void voterWithWipedDiskIsReadmittedWithoutDataLoss() throws Exception {
         put("wiped", 1);
         fleet.process("v2").kill();
-        fleet.wipe("v2");
+        fleet.wipeDataFolder("v2");
         put("wiped", 2);
         fleet.process("v2").start();
         Fleet.await().until(() -> allAdmitted() && !"RECOVERING".equals(role("v2")));
@@ -162,28 +164,28 @@
     }
 
     @Test
-    void changesAreInForceEverywhereWithinTwoSecondsAndNeverGoBack() throws Exception {
+    void changesAreAppliedEverywhereWithinTwoSecondsAndNeverRevert() throws Exception {
         put("force", 1);
         fleet.process("e3").kill();
         List<Long> millis = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             long before = System.nanoTime();
-            awaitInForce(put("force", 10 + i), "e1", "e2");
+            awaitApplied(put("force", 10 + i), "e1", "e2");
             millis.add((System.nanoTime() - before) / 1_000_000);
         }
         millis.sort(null);
-        assertTrue(millis.get(39) < 2_000, "in force after " + millis);
+        assertTrue(millis.get(39) < 2_000, "applied after " + millis);
         for (int i = 0; i < 260; i++) {
             put("force", 100 + i);
         }
         fleet.process("e3").start();
-        awaitInForce(version("force"), "e3");
+        awaitApplied(version("force"), "e3");
     }
 
     @Test
-    void entryThatStartsCutOffSaysThatItsConfigurationMayBeOld() throws Exception {
+    void entryStartedInPartitionReportsPossiblyStaleConfiguration() throws Exception {
         put("old", 1);
-        awaitInForce(version("old"));
+        awaitApplied(version("old"));
         fleet.process("e2").kill();
         for (String v : VOTERS) {
             fleet.proxy("e2", v).cut();
@@ -191,7 +193,7 @@
         fleet.process("e2").start();
         Fleet.await().until(() -> fleet.dump("e2").path("declarationVersion").asLong() > 0);
         assertTrue(fleet.dump("e2").path("declarationsMayBeOld").asBoolean());
-        // It serves what its siblings know.
+        // It obtains the configuration from the other entries of its domain.
         Fleet.await().until(() -> fleet.isReady("e2"));
         fleet.healAll();
         Fleet.await().until(() -> !fleet.dump("e2").path("declarationsMayBeOld").asBoolean());
@@ -212,7 +214,7 @@
         return service.path("spec").path("timeoutMillis").asInt();
     }
 
-    private static void awaitInForce(long version, String... entries) {
+    private static void awaitApplied(long version, String... entries) {
         for (String e : entries.length == 0 ? ENTRIES.toArray(new String[0]) : entries) {
             Fleet.await()
                     .pollInterval(Duration.ofMillis(10))
@@ -220,7 +222,7 @@
         }
     }
 
-    private static NetAddress api(int i) {
+    private static NetAddress voterApiAddress(int i) {
         return fleet.apiAddress(VOTERS.get(i));
     }
 
@@ -238,10 +240,10 @@
     }
 
     private static List<String> leaders() throws IOException {
-        return leadersBut("none");
+        return leadersExcept("none");
     }
 
-    private static List<String> leadersBut(String frozen) throws IOException {
+    private static List<String> leadersExcept(String frozen) throws IOException {
         List<String> out = new ArrayList<>();
         for (String v : VOTERS) {
             if (!v.equals(frozen) && fleet.process(v).isAlive() && "LEADER".equals(role(v))) {
--- a/integration/src/test/java/org/hallwall/integration/CrossDomainTest.java
+++ b/integration/src/test/java/org/hallwall/integration/CrossDomainTest.java
@@ -38,7 +38,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Two failure domains: one has all targets, and the links between them and to the voters are cut. */
+/** Checks forwarding, repair and idempotency keys across two failure domains, with links between them and to the voters cut. */
 class CrossDomainTest {
 
     private static final Set<FailureDomainId> DOMAINS =
@@ -48,10 +48,10 @@
 
     @BeforeEach
     void start() throws Exception {
-        fleet = new Fleet(FleetPlan.twoDomains()
-                        .engines("db", "fb", 5, "\"tokensPerSecond\": 100, \"weightMillis\": 100"))
+        fleet = new Fleet(FleetTopology.twoDomains()
+                        .addEngines("db", "fb", 5, "\"tokensPerSecond\": 100, \"weightMillis\": 100"))
                 .start();
-        fleet.declare("{\"model\": \"x\", \"version\": \"1\", \"targetsPerReplica\": 2, \"replicas\": 2}");
+        fleet.declareResources("{\"model\": \"x\", \"version\": \"1\", \"targetsPerReplica\": 2, \"replicas\": 2}");
         fleet.awaitGroups("db", 2);
         fleet.awaitClaims("da");
         fleet.awaitClaims("db");
@@ -65,55 +65,59 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void requestRunsWhereACompleteGroupIs(boolean stream) throws Exception {
-        Caller caller = new Caller(fleet.callers("a1"));
-        RequestFailureTest.assertWhole(caller.chat("remote", 20, stream), "remote", 20);
-        assertEquals(1, runs("remote"));
-        // Keys of either home run once, wherever they arrive.
+    void requestIsForwardedToDomainWithCompleteGroup(boolean stream) throws Exception {
+        EntryClient caller = new EntryClient(fleet.callersAddress("a1"));
+        RequestFailureTest.assertCompleteResponse(caller.chat("remote", 20, stream), "remote", 20);
+        assertEquals(1, countRuns("remote"));
+        // A request with a key runs once, whichever domain is home of the key and whichever entry receives it.
         for (String home : List.of("da", "db")) {
-            String key = keyOf(home);
+            String key = keyWithHome(home);
             for (String entry : List.of("a1", "b1", "a1")) {
-                Http.Reply r = new Caller(fleet.callers(entry))
+                HttpCalls.Response r = new EntryClient(fleet.callersAddress(entry))
                         .chat("key " + home, 10, stream, "Idempotency-Key", key, "Hallwall-Repeatable", "false");
-                RequestFailureTest.assertWhole(r, "key " + home, 10);
+                RequestFailureTest.assertCompleteResponse(r, "key " + home, 10);
             }
-            assertEquals(1, runs("key " + home));
+            assertEquals(1, countRuns("key " + home));
         }
     }
 
     @Test
-    void domainCutFromTheVotersServesAndRepairs() throws Exception {
+    void domainPartitionedFromVotersServesAndRepairs() throws Exception {
         for (String v : List.of("v1", "v2", "v3")) {
             fleet.proxy("b1", v).cut();
         }
         fleet.proxy("a1.runs", "b1").cut();
         Fleet.await().until(() -> fleet.dump("b1").path("declarationsMayBeOld").asBoolean());
-        fleet.process(memberOfSomeGroup()).kill();
+        fleet.process(memberOfUsableGroup()).kill();
         Fleet.await().until(() -> fleet.usableGroups("b1") == 1);
-        RequestFailureTest.assertWhole(new Caller(fleet.callers("b1")).chat("cut", 10, true), "cut", 10);
+        RequestFailureTest.assertCompleteResponse(
+                new EntryClient(fleet.callersAddress("b1")).chat("cut", 10, true), "cut", 10);
         Fleet.await().until(() -> fleet.usableGroups("b1") == 2);
-        // The other side gives up at the deadline, and says that it does not know.
-        Http.Reply r = new Caller(fleet.callers("a1")).chat("other side", 10, false, "Hallwall-Deadline-Ms", "1500");
+        // A request from the other domain fails at its deadline with an unknown outcome.
+        HttpCalls.Response r = new EntryClient(fleet.callersAddress("a1"))
+                .chat("other side", 10, false, "Hallwall-Deadline-Ms", "1500");
         assertEquals("MAY_HAVE_RUN", r.verdict(), r.text());
         fleet.healAll();
         Fleet.await().until(() -> !fleet.dump("b1").path("declarationsMayBeOld").asBoolean());
-        assertTrue(fleet.usableGroups("b1") == 2, "the groups stay as they are");
+        assertTrue(fleet.usableGroups("b1") == 2, "the groups are unchanged");
     }
 
     @Test
-    void keyWhoseHomeIsUnreachableIsRefusedAsNotRun() throws Exception {
+    void keyWithUnreachableHomeIsRejectedAsNotRun() throws Exception {
         fleet.proxy("a1.callers", "b1").close();
-        Http.Reply r = new Caller(fleet.callers("a1")).chat("far key", 10, false, "Idempotency-Key", keyOf("db"));
+        HttpCalls.Response r = new EntryClient(fleet.callersAddress("a1"))
+                .chat("far key", 10, false, "Idempotency-Key", keyWithHome("db"));
         assertEquals(503, r.status(), r.text());
         assertEquals("NOT_RUN", r.verdict());
-        assertEquals(0, runs("far key"));
-        RequestFailureTest.assertWhole(
-                new Caller(fleet.callers("a1")).chat("near key", 10, false, "Idempotency-Key", keyOf("da")),
+        assertEquals(0, countRuns("far key"));
+        RequestFailureTest.assertCompleteResponse(
+                new EntryClient(fleet.callersAddress("a1"))
+                        .chat("near key", 10, false, "Idempotency-Key", keyWithHome("da")),
                 "near key",
                 10);
     }
 
-    private String memberOfSomeGroup() throws IOException {
+    private String memberOfUsableGroup() throws IOException {
         for (JsonNode g : fleet.dump("b1").path("groups")) {
             if (g.path("usable").asBoolean()) {
                 return g.path("members").path(1).asText();
@@ -122,7 +126,7 @@
         throw new AssertionError("no usable group");
     }
 
-    private static String keyOf(String home) {
+    private static String keyWithHome(String home) {
         for (int i = 0; ; i++) {
             ClaimKey key = ClaimKey.of(new WorkspaceId("kitchen"), "key-" + i);
             if (key.home(DOMAINS).value().equals(home)) {
@@ -131,11 +135,11 @@
         }
     }
 
-    private int runs(String prompt) throws IOException {
+    private int countRuns(String prompt) throws IOException {
         int n = 0;
         for (FleetTarget t : fleet.targets()) {
             for (FakeAccount.RunRecord r : t.account().runs()) {
-                n += r.promptHash().equals(FakeAnswer.hash(Caller.prompt(prompt))) ? 1 : 0;
+                n += r.promptHash().equals(FakeAnswer.hash(EntryClient.renderPrompt(prompt))) ? 1 : 0;
             }
         }
         return n;
--- a/integration/src/test/java/org/hallwall/integration/DomainFailureTest.java
+++ b/integration/src/test/java/org/hallwall/integration/DomainFailureTest.java
@@ -40,7 +40,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Groups and keys while members, entries and controllers are killed and frozen; each test has a fleet of its own. */
+/** Checks groups and idempotency keys while members, entries and controllers are killed or suspended. */
 class DomainFailureTest {
 
     private static final String SPEC =
@@ -50,20 +50,20 @@
 
     @BeforeEach
     void start() throws Exception {
-        // One fabric domain checks fencing numbers, the other ignores them.
-        fleet = new Fleet(FleetPlan.oneDomain()
-                        .engines(
+        // The targets of one fabric domain check fencing numbers, those of the other ignore them.
+        fleet = new Fleet(FleetTopology.oneDomain()
+                        .addEngines(
                                 "da",
                                 "fa",
                                 3,
                                 "\"tokensPerSecond\": 100, \"weightMillis\": 200, \"checksFencing\": true")
-                        .engines(
+                        .addEngines(
                                 "da",
                                 "fb",
                                 3,
                                 "\"tokensPerSecond\": 100, \"weightMillis\": 200, \"checksFencing\": false"))
                 .start();
-        fleet.declare(SPEC.formatted("1"));
+        fleet.declareResources(SPEC.formatted("1"));
         fleet.awaitGroups("da", 2);
         fleet.awaitClaims("da");
     }
@@ -78,9 +78,9 @@
         String member = secondMemberOf("fa", "e1");
         fleet.process(member).kill();
         long killedAt = System.currentTimeMillis();
-        Caller caller = new Caller(fleet.callers("e1"));
+        EntryClient caller = new EntryClient(fleet.callersAddress("e1"));
         for (int i = 0; i < 10; i++) {
-            RequestFailureTest.assertWhole(caller.chat("killed " + i, 5, false), "killed " + i, 5);
+            RequestFailureTest.assertCompleteResponse(caller.chat("killed " + i, 5, false), "killed " + i, 5);
         }
         fleet.awaitGroups("da", 2);
         assertNoRunOnBrokenGroups(killedAt, member);
@@ -90,9 +90,9 @@
     @ParameterizedTest
     @ValueSource(strings = {"KILL", "STOP"})
     void newControllerWithinFiveSecondsAndNoTargetInTwoGroups(String signal) throws Exception {
-        String old = controller();
+        String old = activeController();
         fleet.process(old).signal(signal);
-        Fleet.await().atMost(Duration.ofSeconds(5)).until(() -> !old.equals(activeBut(old)));
+        Fleet.await().atMost(Duration.ofSeconds(5)).until(() -> !old.equals(activeControllerExcept(old)));
         String other = old.equals("e1") ? "e2" : "e1";
         String member = secondMemberOf("fb", other);
         fleet.process(member).kill();
@@ -100,26 +100,26 @@
         Fleet.await().until(() -> fleet.usableGroups(other) == 2);
         if ("STOP".equals(signal)) {
             fleet.process(old).signal("CONT");
-            // The old controller learns that its lease is over and gives no orders: the groups stay as they are.
-            Fleet.await().until(() -> "STANDBY".equals(phase(old)));
+            // The resumed controller finds its lease expired and issues no orders, so the groups are unchanged.
+            Fleet.await().until(() -> "STANDBY".equals(controllerPhase(old)));
             fleet.awaitGroups("da", 2);
         }
         assertNoTargetInTwoGroups();
     }
 
     @Test
-    void versionChangesGroupByGroupAndCutsOffNoRequest() throws Exception {
-        Caller caller = new Caller(fleet.callers("e2"));
-        List<CompletableFuture<Http.Reply>> running = new ArrayList<>();
+    void rollingVersionChangeInterruptsNoRequest() throws Exception {
+        EntryClient caller = new EntryClient(fleet.callersAddress("e2"));
+        List<CompletableFuture<HttpCalls.Response>> running = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             running.add(caller.chatAsync("rolling " + i, 200, true));
         }
-        fleet.declare(SPEC.formatted("2"));
+        fleet.declareResources(SPEC.formatted("2"));
         for (int i = 0; i < 8; i++) {
-            RequestFailureTest.assertWhole(running.get(i).join(), "rolling " + i, 200);
+            RequestFailureTest.assertCompleteResponse(running.get(i).join(), "rolling " + i, 200);
         }
         Fleet.await().untilAsserted(() -> {
-            RequestFailureTest.assertWhole(caller.chat("meanwhile", 3, false), "meanwhile", 3);
+            RequestFailureTest.assertCompleteResponse(caller.chat("meanwhile", 3, false), "meanwhile", 3);
             assertEquals(
                     2,
                     fleet.api()
@@ -131,83 +131,89 @@
     }
 
     @Test
-    void plannedStopOfAnEntryCutsOffNoRequest() throws Exception {
-        Caller caller = new Caller(fleet.callers("e3"));
-        List<CompletableFuture<Http.Reply>> running = new ArrayList<>();
+    void gracefulEntryShutdownInterruptsNoRequest() throws Exception {
+        EntryClient caller = new EntryClient(fleet.callersAddress("e3"));
+        List<CompletableFuture<HttpCalls.Response>> running = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             running.add(caller.chatAsync("planned " + i, 400, true));
         }
         Fleet.await().until(() -> fleet.dump("e3").path("inFlight").asInt() == 6);
         fleet.process("e3").signal("TERM");
         for (int i = 0; i < 6; i++) {
-            RequestFailureTest.assertWhole(running.get(i).join(), "planned " + i, 400);
+            RequestFailureTest.assertCompleteResponse(running.get(i).join(), "planned " + i, 400);
         }
         Fleet.await().until(() -> !fleet.process("e3").isAlive());
     }
 
     @Test
-    void keyIsNotRunTwiceWhenItsEntryIsKilled() throws Exception {
+    void keyIsNotRunTwiceAfterEntryIsKilled() throws Exception {
         String[] key = {"Idempotency-Key", "killed-owner", "Hallwall-Repeatable", "false"};
-        CompletableFuture<Http.Reply> lost = new Caller(fleet.callers("e1")).chatAsync("owner", 300, false, key);
-        Fleet.await().until(() -> runs("owner") == 1);
+        CompletableFuture<HttpCalls.Response> lost =
+                new EntryClient(fleet.callersAddress("e1")).chatAsync("owner", 300, false, key);
+        Fleet.await().until(() -> countRuns("owner") == 1);
         fleet.process("e1").kill();
         lost.handle((r, e) -> e).join();
-        Http.Reply again = new Caller(fleet.callers("e2")).chat("owner", 300, false, key);
-        assertEquals("MAY_HAVE_RUN", again.verdict(), again.text());
-        // The entry comes back without a memory and must not grant the key either.
+        HttpCalls.Response retried = new EntryClient(fleet.callersAddress("e2")).chat("owner", 300, false, key);
+        assertEquals("MAY_HAVE_RUN", retried.verdict(), retried.text());
+        // The restarted entry has lost its claims and must not grant the key either.
         fleet.process("e1").start();
         fleet.awaitClaims("da");
-        Http.Reply third = new Caller(fleet.callers("e1")).chat("owner", 300, false, key);
+        HttpCalls.Response third = new EntryClient(fleet.callersAddress("e1")).chat("owner", 300, false, key);
         assertEquals("MAY_HAVE_RUN", third.verdict(), third.text());
-        assertEquals(1, runs("owner"));
+        assertEquals(1, countRuns("owner"));
     }
 
     @Test
-    void keptAnswerOutlivesItsEntry() throws Exception {
+    void storedResponseSurvivesEntryLoss() throws Exception {
         String[] key = {"Idempotency-Key", "kept", "Hallwall-Repeatable", "false"};
-        RequestFailureTest.assertWhole(new Caller(fleet.callers("e1")).chat("kept", 20, false, key), "kept", 20);
+        RequestFailureTest.assertCompleteResponse(
+                new EntryClient(fleet.callersAddress("e1")).chat("kept", 20, false, key), "kept", 20);
         fleet.process("e1").kill();
-        RequestFailureTest.assertWhole(new Caller(fleet.callers("e2")).chat("kept", 20, false, key), "kept", 20);
-        assertEquals(1, runs("kept"));
+        RequestFailureTest.assertCompleteResponse(
+                new EntryClient(fleet.callersAddress("e2")).chat("kept", 20, false, key), "kept", 20);
+        assertEquals(1, countRuns("kept"));
     }
 
     @Test
-    void keysAreRefusedWhenTwoOfThreeKeepersAreLost() throws Exception {
+    void keysAreRejectedWhenTwoOfThreeClaimReplicasAreLost() throws Exception {
         String[] key = {"Idempotency-Key", "two-lost", "Hallwall-Repeatable", "false"};
-        RequestFailureTest.assertWhole(new Caller(fleet.callers("e1")).chat("two", 10, false, key), "two", 10);
+        RequestFailureTest.assertCompleteResponse(
+                new EntryClient(fleet.callersAddress("e1")).chat("two", 10, false, key), "two", 10);
         fleet.process("e2").kill();
         fleet.process("e3").kill();
-        Http.Reply r = new Caller(fleet.callers("e1")).chat("two fresh", 10, false, "Idempotency-Key", "fresh");
+        HttpCalls.Response r =
+                new EntryClient(fleet.callersAddress("e1")).chat("two fresh", 10, false, "Idempotency-Key", "fresh");
         assertEquals("NOT_RUN", r.verdict(), r.text());
         fleet.process("e2").start();
         fleet.process("e3").start();
         Fleet.await().until(() -> fleet.isReady("e2") && fleet.isReady("e3"));
-        // Two have forgotten; a key that they may have granted must not run again, wherever it arrives.
-        Http.Reply again = new Caller(fleet.callers("e2")).chat("two", 10, false, key);
-        assertTrue(again.status() == 200 || "MAY_HAVE_RUN".equals(again.verdict()), again.text());
-        Http.Reply unknown = new Caller(fleet.callers("e2")).chat("other", 10, false, "Idempotency-Key", "unseen");
+        // Two replicas have lost their claims; a key that they may have granted must not run again at any entry.
+        HttpCalls.Response retried = new EntryClient(fleet.callersAddress("e2")).chat("two", 10, false, key);
+        assertTrue(retried.status() == 200 || "MAY_HAVE_RUN".equals(retried.verdict()), retried.text());
+        HttpCalls.Response unknown =
+                new EntryClient(fleet.callersAddress("e2")).chat("other", 10, false, "Idempotency-Key", "unseen");
         assertEquals("MAY_HAVE_RUN", unknown.verdict(), unknown.text());
-        assertEquals(1, runs("two"));
-        assertEquals(0, runs("other"));
+        assertEquals(1, countRuns("two"));
+        assertEquals(0, countRuns("other"));
     }
 
     @Test
-    void frozenEntryReturnsWithOldClaims() throws Exception {
+    void suspendedEntryResumesWithStaleClaims() throws Exception {
         String[] key = {"Idempotency-Key", "frozen-keeper", "Hallwall-Repeatable", "false"};
         fleet.process("e3").signal("STOP");
-        RequestFailureTest.assertWhole(new Caller(fleet.callers("e1")).chat("frozen", 10, false, key), "frozen", 10);
+        RequestFailureTest.assertCompleteResponse(
+                new EntryClient(fleet.callersAddress("e1")).chat("frozen", 10, false, key), "frozen", 10);
         fleet.process("e3").signal("CONT");
-        RequestFailureTest.assertWhole(new Caller(fleet.callers("e3")).chat("frozen", 10, false, key), "frozen", 10);
-        assertEquals(1, runs("frozen"));
+        RequestFailureTest.assertCompleteResponse(
+                new EntryClient(fleet.callersAddress("e3")).chat("frozen", 10, false, key), "frozen", 10);
+        assertEquals(1, countRuns("frozen"));
     }
 
-    // --- what the targets' own accounts say
-
-    private int runs(String prompt) throws IOException {
+    private int countRuns(String prompt) throws IOException {
         int n = 0;
         for (FleetTarget t : liveTargets().values()) {
             for (FakeAccount.RunRecord r : t.account().runs()) {
-                n += r.promptHash().equals(FakeAnswer.hash(Caller.prompt(prompt))) ? 1 : 0;
+                n += r.promptHash().equals(FakeAnswer.hash(EntryClient.renderPrompt(prompt))) ? 1 : 0;
             }
         }
         return n;
@@ -223,7 +229,7 @@
         return out;
     }
 
-    /** No run began on a group of the killed member later than two seconds after the kill. */
+    /** Checks that no run started on the group of the killed member later than two seconds after the kill. */
     private void assertNoRunOnBrokenGroups(long killedAt, String member) throws IOException {
         for (FleetTarget t : liveTargets().values()) {
             for (FakeAccount.RunRecord r : t.account().runs()) {
@@ -235,7 +241,7 @@
 
     private final Map<GroupId, String> brokenGroups = new HashMap<>();
 
-    /** A target serves in one group at a time: the latest group of each target has it as a member, and only there. */
+    /** Checks that no target belongs to two complete groups, across the reports of all entries. */
     private void assertNoTargetInTwoGroups() throws IOException {
         Map<InstanceId, GroupId> seen = new HashMap<>();
         for (String e : List.of("e1", "e2", "e3")) {
@@ -266,20 +272,20 @@
         throw new AssertionError("no usable group in " + fabric);
     }
 
-    private String controller() throws IOException {
-        return activeBut("none");
+    private String activeController() throws IOException {
+        return activeControllerExcept("none");
     }
 
-    private String activeBut(String frozen) throws IOException {
+    private String activeControllerExcept(String frozen) throws IOException {
         for (String e : List.of("e1", "e2", "e3")) {
-            if (!e.equals(frozen) && fleet.process(e).isAlive() && "ACTIVE".equals(phase(e))) {
+            if (!e.equals(frozen) && fleet.process(e).isAlive() && "ACTIVE".equals(controllerPhase(e))) {
                 return e;
             }
         }
         return frozen;
     }
 
-    private String phase(String entry) throws IOException {
+    private String controllerPhase(String entry) throws IOException {
         return fleet.dump(entry).at("/controller/phase").asText();
     }
 }
--- a/integration/src/test/java/org/hallwall/integration/Caller.java
+++ b/integration/src/test/java/org/hallwall/integration/EntryClient.java
@@ -26,29 +26,31 @@
 import org.hallwall.core.settings.Json;
 import org.hallwall.core.settings.NetAddress;
 
-/** A caller of one entry. */
-final class Caller {
+/** HTTP client of one entry. */
+final class EntryClient {
 
     private final NetAddress entry;
 
-    Caller(NetAddress entry) {
+    EntryClient(NetAddress entry) {
         this.entry = entry;
     }
 
-    Http.Reply chat(String prompt, int tokens, boolean stream, String... headers) throws IOException {
-        return Http.send("POST", entry, "/v1/chat/completions", body(prompt, tokens, stream), with(headers));
+    HttpCalls.Response chat(String prompt, int tokens, boolean stream, String... headers) throws IOException {
+        return HttpCalls.send(
+                "POST", entry, "/v1/chat/completions", chatBody(prompt, tokens, stream), headers(headers));
     }
 
-    CompletableFuture<Http.Reply> chatAsync(String prompt, int tokens, boolean stream, String... headers) {
-        return Http.sendAsync("POST", entry, "/v1/chat/completions", body(prompt, tokens, stream), with(headers));
+    CompletableFuture<HttpCalls.Response> chatAsync(String prompt, int tokens, boolean stream, String... headers) {
+        return HttpCalls.sendAsync(
+                "POST", entry, "/v1/chat/completions", chatBody(prompt, tokens, stream), headers(headers));
     }
 
-    Http.Reply call(String method, String path, String body, String... headers) throws IOException {
-        return Http.send(method, entry, path, body, with(headers));
+    HttpCalls.Response send(String method, String path, String body, String... headers) throws IOException {
+        return HttpCalls.send(method, entry, path, body, headers(headers));
     }
 
-    /** The text of a chat completion, streamed or not. */
-    static String text(Http.Reply r) throws IOException {
+    /** Returns the text of a chat completion, streamed or not. */
+    static String responseText(HttpCalls.Response r) throws IOException {
         if (!"text/event-stream".equals(r.contentType())) {
             return r.json()
                     .path("choices")
@@ -72,17 +74,17 @@
         return out.toString();
     }
 
-    /** The prompt as an engine sees it. */
-    static String prompt(String text) {
+    /** Returns the prompt in the form that an engine receives. */
+    static String renderPrompt(String text) {
         return "user: " + text + "\n";
     }
 
-    private static String body(String prompt, int tokens, boolean stream) {
+    private static String chatBody(String prompt, int tokens, boolean stream) {
         return "{\"model\": \"m\", \"max_tokens\": " + tokens + ", \"stream\": " + stream
                 + ", \"messages\": [{\"role\": \"user\", \"content\": \"" + prompt + "\"}]}";
     }
 
-    private static Map<String, String> with(String... headers) {
+    private static Map<String, String> headers(String... headers) {
         Map<String, String> out = new HashMap<>();
         out.put("Authorization", "Bearer " + Fleet.KEY);
         out.put("Content-Type", "application/json");
--- a/integration/src/test/java/org/hallwall/integration/Fleet.java
+++ b/integration/src/test/java/org/hallwall/integration/Fleet.java
@@ -35,30 +35,30 @@
 import org.hallwall.core.settings.NetAddress;
 import org.hallwall.fakes.proxy.FaultProxy;
 
-/** A fleet of real processes on loopback; every link between two of them goes through a proxy of its own. */
+/** A fleet of processes on loopback addresses in which each link has its own fault proxy. */
 final class Fleet implements Closeable {
 
     static final String KEY = "test-key";
-    private static final Duration START = Duration.ofSeconds(20);
+    private static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(20);
 
-    private final FleetPlan plan;
+    private final FleetTopology topology;
     private final Path folder;
     private final Map<String, FleetProcess> processes = new LinkedHashMap<>();
     private final Map<String, Integer> ports = new LinkedHashMap<>();
     private final Map<String, FaultProxy> proxies = new LinkedHashMap<>();
 
-    Fleet(FleetPlan plan) throws IOException {
-        this.plan = plan;
+    Fleet(FleetTopology plan) throws IOException {
+        this.topology = plan;
         this.folder = Files.createTempDirectory("hallwall-fleet");
         writeVoters();
         writeEntries();
         writeTargets();
     }
 
-    /** Forms the data folders, starts all processes and waits until the voters have a leader. */
+    /** Initialises the data folders, starts all processes and waits until a voter is ready. */
     Fleet start() throws IOException, InterruptedException {
-        for (String v : plan.voters) {
-            form(v);
+        for (String v : topology.voters) {
+            formDataFolder(v);
         }
         for (FleetProcess p : processes.values()) {
             p.start();
@@ -67,9 +67,9 @@
         return this;
     }
 
-    void form(String voter) throws IOException, InterruptedException {
+    void formDataFolder(String voter) throws IOException, InterruptedException {
         new ProcessBuilder(
-                        FleetProcess.launcher("hallwall-control"),
+                        FleetProcess.launcherPath("hallwall-control"),
                         "--settings",
                         folder.resolve(voter + ".json").toString(),
                         "--form")
@@ -80,10 +80,11 @@
     }
 
     void awaitLeader() {
-        await().until(() -> plan.voters.stream().anyMatch(v -> processes.get(v).isAlive() && isReady(v)));
+        await().until(() ->
+                topology.voters.stream().anyMatch(v -> processes.get(v).isAlive() && isReady(v)));
     }
 
-    void wipe(String voter) throws IOException {
+    void wipeDataFolder(String voter) throws IOException {
         Path data = folder.resolve(voter + ".data");
         try (var files = Files.list(data)) {
             for (Path f : files.toList()) {
@@ -92,8 +93,8 @@
         }
     }
 
-    /** Declares a model group and a workspace that may use it and the service {@code booking}. */
-    void declare(String spec) throws IOException {
+    /** Declares a model group, the service {@code booking} and a workspace with access to both. */
+    void declareResources(String spec) throws IOException {
         api().put("ModelGroup", "modelgroups", "menu", spec);
         api().put("Service", "services", "booking", "{}");
         api().put(
@@ -104,21 +105,21 @@
                                 + " \"models\": [{\"name\": \"m\", \"modelGroup\": \"menu\"}]}");
     }
 
-    /** Waits until each entry of a domain knows so many usable groups. */
+    /** Waits until each entry of a failure domain has the configuration and reports the given number of usable groups. */
     void awaitGroups(String domain, int groups) {
-        for (String e : plan.entries.get(domain)) {
+        for (String e : topology.entries.get(domain)) {
             await().untilAsserted(() -> {
                 if (usableGroups(e) != groups
                         || dump(e).path("declarationVersion").asLong() == 0) {
-                    throw new AssertionError(e + " knows " + usableGroups(e) + " usable groups");
+                    throw new AssertionError(e + " reports " + usableGroups(e) + " usable groups");
                 }
             });
         }
     }
 
-    /** Waits until the entries of a domain keep claims and are sure of them. */
+    /** Waits until each entry of a failure domain reports its claims as complete. */
     void awaitClaims(String domain) {
-        for (String e : plan.entries.get(domain)) {
+        for (String e : topology.entries.get(domain)) {
             await().until(() -> dump(e).path("claimsSure").asBoolean());
         }
     }
@@ -132,12 +133,15 @@
     }
 
     JsonNode dump(String process) throws IOException {
-        return Http.json("GET", admin(process), "/debug/dump", null, Map.of()).body();
+        return HttpCalls.sendForJson("GET", adminAddress(process), "/debug/dump", null, Map.of())
+                .body();
     }
 
     boolean isReady(String process) {
         try {
-            return Http.send("GET", admin(process), "/readyz", null, Map.of()).status() == 200;
+            return HttpCalls.send("GET", adminAddress(process), "/readyz", null, Map.of())
+                            .status()
+                    == 200;
         } catch (IOException e) {
             return false;
         }
@@ -145,7 +149,7 @@
 
     FleetApi api() {
         List<NetAddress> addresses = new ArrayList<>();
-        for (String v : plan.voters) {
+        for (String v : topology.voters) {
             addresses.add(address(v + ".api"));
         }
         return new FleetApi(addresses);
@@ -159,8 +163,8 @@
         return proxies.get(from + ">" + to);
     }
 
-    /** Cuts every link of a process in both directions. */
-    void cutOff(String process) {
+    /** Cuts all links of a process in both directions. */
+    void isolate(String process) {
         proxies.forEach((name, p) -> {
             if (name.startsWith(process + ">") || name.endsWith(">" + process)) {
                 p.cut();
@@ -176,25 +180,25 @@
         return address(voter + ".api");
     }
 
-    NetAddress peer(String process) {
+    NetAddress peerAddress(String process) {
         return address(process + ".peer");
     }
 
-    NetAddress callers(String entry) {
+    NetAddress callersAddress(String entry) {
         return address(entry + ".callers");
     }
 
-    NetAddress admin(String process) {
+    NetAddress adminAddress(String process) {
         return address(process + ".admin");
     }
 
-    /** The target itself, not through its proxy. */
+    /** Returns direct access to a target, bypassing its proxy. */
     FleetTarget target(String name) {
         return new FleetTarget(address(name + ".target"));
     }
 
     List<FleetTarget> targets() {
-        return plan.targets.stream().map(t -> target(t.name())).toList();
+        return topology.targets.stream().map(t -> target(t.name())).toList();
     }
 
     FaultProxy targetProxy(String name) {
@@ -203,7 +207,7 @@
 
     static ConditionFactory await() {
         return Awaitility.await()
-                .atMost(START)
+                .atMost(DEFAULT_TIMEOUT)
                 .pollInterval(Duration.ofMillis(50))
                 .ignoreExceptions();
     }
@@ -225,50 +229,48 @@
         }
     }
 
-    // --- settings
-
-    private NetAddress address(String what) {
-        return new NetAddress("127.0.0.1", ports.computeIfAbsent(what, w -> FleetPorts.next()));
+    private NetAddress address(String name) {
+        return new NetAddress("127.0.0.1", ports.computeIfAbsent(name, n -> FleetPorts.next()));
     }
 
-    private String proxied(String from, String to) throws IOException {
+    private String proxyTo(String from, String to) throws IOException {
         FaultProxy p = new FaultProxy(address(to + ".peer"));
         proxies.put(from + ">" + to, p);
         return p.address().toString();
     }
 
-    private void add(String name, String program, String settings) throws IOException {
+    private void addProcess(String name, String program, String settings) throws IOException {
         Path file = folder.resolve(name + ".json");
         Files.writeString(file, settings);
         processes.put(name, new FleetProcess(program, file));
     }
 
-    private String votersFor(String from) throws IOException {
+    private String votersJson(String from) throws IOException {
         List<String> out = new ArrayList<>();
-        for (String v : plan.voters) {
-            String peer = v.equals(from) ? address(v + ".peer").toString() : proxied(from, v);
+        for (String v : topology.voters) {
+            String peer = v.equals(from) ? address(v + ".peer").toString() : proxyTo(from, v);
             out.add("{\"instance\": \"" + v + "\", \"peer\": \"" + peer + "\"}");
         }
         return String.join(", ", out);
     }
 
     private void writeVoters() throws IOException {
-        for (String v : plan.voters) {
-            add(v, "hallwall-control", """
+        for (String v : topology.voters) {
+            addProcess(v, "hallwall-control", """
                     {"fleet": "test", "instance": "%s", "failureDomain": "da", "dataFolder": "%s",
                      "voters": [%s], "api": "%s", "admin": "%s", "darkAfterMillis": %d}
                     """.formatted(
                             v,
                             folder.resolve(v + ".data"),
-                            votersFor(v),
+                            votersJson(v),
                             address(v + ".api"),
                             address(v + ".admin"),
-                            plan.darkAfterMillis));
+                            topology.unreachableAfterMillis));
         }
     }
 
     private void writeEntries() throws IOException {
-        for (Map.Entry<String, List<String>> d : plan.entries.entrySet()) {
+        for (Map.Entry<String, List<String>> d : topology.entries.entrySet()) {
             for (String e : d.getValue()) {
                 writeEntry(d.getKey(), e);
             }
@@ -277,38 +279,38 @@
 
     private void writeEntry(String domain, String e) throws IOException {
         List<String> siblings = new ArrayList<>();
-        for (String o : plan.entries.get(domain)) {
-            String peer = o.equals(e) ? address(o + ".peer").toString() : proxied(e, o);
-            siblings.add(
-                    "{\"instance\": \"" + o + "\", \"peer\": \"" + peer + "\", \"callers\": \"" + callers(o) + "\"}");
+        for (String o : topology.entries.get(domain)) {
+            String peer = o.equals(e) ? address(o + ".peer").toString() : proxyTo(e, o);
+            siblings.add("{\"instance\": \"" + o + "\", \"peer\": \"" + peer + "\", \"callers\": \"" + callersAddress(o)
+                    + "\"}");
         }
         List<String> others = new ArrayList<>();
-        for (Map.Entry<String, List<String>> d : plan.entries.entrySet()) {
+        for (Map.Entry<String, List<String>> d : topology.entries.entrySet()) {
             if (!d.getKey().equals(domain)) {
-                others.add("{\"failureDomain\": \"" + d.getKey() + "\", \"entries\": [" + otherEntries(e, d.getValue())
-                        + "]}");
+                others.add("{\"failureDomain\": \"" + d.getKey() + "\", \"entries\": ["
+                        + otherEntriesJson(e, d.getValue()) + "]}");
             }
         }
-        add(e, "hallwall-entry", """
+        addProcess(e, "hallwall-entry", """
                 {"fleet": "test", "instance": "%s", "failureDomain": "%s", "callers": "%s", "targets": "%s",
                  "peer": "%s", "admin": "%s", "domainEntries": [%s], "voters": [%s], "otherDomains": [%s],
                  "logLevel": "DEBUG"}
                 """.formatted(
                         e,
                         domain,
-                        callers(e),
+                        callersAddress(e),
                         address(e + ".targets"),
                         address(e + ".peer"),
-                        admin(e),
+                        adminAddress(e),
                         String.join(", ", siblings),
-                        votersFor(e),
+                        votersJson(e),
                         String.join(", ", others)));
     }
 
-    private String otherEntries(String from, List<String> entries) throws IOException {
+    private String otherEntriesJson(String from, List<String> entries) throws IOException {
         List<String> out = new ArrayList<>();
         for (String o : entries) {
-            FaultProxy callers = new FaultProxy(callers(o));
+            FaultProxy callers = new FaultProxy(callersAddress(o));
             FaultProxy targets = new FaultProxy(address(o + ".targets"));
             proxies.put(from + ".callers>" + o, callers);
             proxies.put(from + ".runs>" + o, targets);
@@ -317,23 +319,23 @@
         return String.join(", ", out);
     }
 
-    /** Each target is a process of its own and announces an address behind a proxy. */
+    /** Configures one process per target, which advertises the address of its proxy. */
     private void writeTargets() throws IOException {
-        for (FleetPlan.Target t : plan.targets) {
+        for (FleetTopology.Target t : topology.targets) {
             FaultProxy proxy = new FaultProxy(address(t.name() + ".target"));
             proxies.put("*>" + t.name(), proxy);
             List<String> entries = new ArrayList<>();
-            for (String e : plan.entries.get(t.domain())) {
+            for (String e : topology.entries.get(t.domain())) {
                 entries.add("\"" + address(e + ".targets") + "\"");
             }
             String fabric = t.fabric() == null ? "" : "\"fabricDomain\": \"" + t.fabric() + "\", ";
             String extra = t.extra() == null || t.extra().isEmpty() ? "" : ", " + t.extra();
-            add(t.name(), "hallwall-fake-engine", """
+            addProcess(t.name(), "hallwall-fake-engine", """
                     {"entries": [%s], "admin": "%s", "announceMillis": 300, "targets": [
                      {"instance": "%s", "failureDomain": "%s", %s"listen": "%s", "advertise": "%s"%s}]}
                     """.formatted(
                             String.join(", ", entries),
-                            admin(t.name()),
+                            adminAddress(t.name()),
                             t.name(),
                             t.domain(),
                             fabric,
--- a/integration/src/test/java/org/hallwall/integration/FleetApi.java
+++ b/integration/src/test/java/org/hallwall/integration/FleetApi.java
@@ -26,10 +26,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.hallwall.core.settings.NetAddress;
 
-/** The resource API of a fleet; calls the voters in turn until one gives a final answer. */
+/** Client of the resource API that tries each voter in turn until one returns a final response. */
 final class FleetApi {
 
-    private static final int TRIES = 30;
+    private static final int MAX_ATTEMPTS = 30;
 
     private final List<NetAddress> voters;
 
@@ -37,53 +37,57 @@
         this.voters = voters;
     }
 
-    /** Declares a resource in its current version. */
+    /** Creates a resource or replaces its current version. */
     JsonNode put(String kind, String plural, String name, String spec) throws IOException {
         long version = get(plural, name).path("resourceVersion").asLong(0);
-        Http.Reply r = settle("PUT", "/api/v1/" + plural + "/" + name, body(kind, name, version, spec), Map.of());
+        HttpCalls.Response r = sendWithRetries(
+                "PUT", "/api/v1/" + plural + "/" + name, resourceJson(kind, name, version, spec), Map.of());
         if (r.status() != 200) {
-            throw new IOException("declaration refused: " + r.text());
+            throw new IOException("declaration rejected: " + r.text());
         }
         return r.json();
     }
 
     JsonNode get(String plural, String name) throws IOException {
-        return settle("GET", "/api/v1/" + plural + "/" + name, null, Map.of()).json();
+        return sendWithRetries("GET", "/api/v1/" + plural + "/" + name, null, Map.of())
+                .json();
     }
 
     JsonNode status() throws IOException {
-        return settle("GET", "/api/v1/status", null, Map.of()).json();
+        return sendWithRetries("GET", "/api/v1/status", null, Map.of()).json();
     }
 
-    Http.Reply at(int voter, String method, String path, String body, Map<String, String> headers) throws IOException {
-        return Http.send(method, voters.get(voter), path, body, headers);
+    HttpCalls.Response sendTo(int voter, String method, String path, String body, Map<String, String> headers)
+            throws IOException {
+        return HttpCalls.send(method, voters.get(voter), path, body, headers);
     }
 
-    static String body(String kind, String name, long version, String spec) {
+    static String resourceJson(String kind, String name, long version, String spec) {
         return "{\"kind\": \"" + kind + "\", \"name\": \"" + name + "\", \"resourceVersion\": " + version
                 + ", \"spec\": " + spec + "}";
     }
 
-    Http.Reply settle(String method, String path, String body, Map<String, String> headers) throws IOException {
-        Http.Reply last = null;
-        for (int i = 0; i < TRIES; i++) {
+    HttpCalls.Response sendWithRetries(String method, String path, String body, Map<String, String> headers)
+            throws IOException {
+        HttpCalls.Response last = null;
+        for (int i = 0; i < MAX_ATTEMPTS; i++) {
             try {
-                last = at(i % voters.size(), method, path, body, headers);
+                last = sendTo(i % voters.size(), method, path, body, headers);
                 if (last.status() < 500) {
                     return last;
                 }
             } catch (IOException e) {
                 last = null;
             }
-            pause();
+            awaitRetryDelay();
         }
         if (last == null) {
-            throw new IOException("no voter answers");
+            throw new IOException("no voter responded");
         }
         return last;
     }
 
-    private static void pause() {
+    private static void awaitRetryDelay() {
         LockSupport.parkNanos(200_000_000L);
     }
 }
--- a/integration/src/test/java/org/hallwall/integration/FleetPorts.java
+++ b/integration/src/test/java/org/hallwall/integration/FleetPorts.java
@@ -23,52 +23,51 @@
 import java.net.ServerSocket;
 
 /**
- * Gives loopback ports that nothing else takes between the draw and the bind.
+ * Allocates loopback ports that remain free until the process under test binds them.
  *
- * <p>Ports that the system draws itself (port 0, outgoing connections) lie above {@link #FIRST_EPHEMERAL}, so none is given
- * from there: a proxy of the same fleet could get it while the process that it was meant for is still starting. Each test run
- * holds a block of ports by listening on the block's first one, so that two runs share none.
+ * <p>All ports are below the ephemeral range, so that the system never assigns them to a proxy or an outgoing connection. Each
+ * test run reserves a block of ports by listening on its first port, so that concurrent runs share none.
  */
 final class FleetPorts {
 
-    /** Where Linux begins its own draws (net.ipv4.ip_local_port_range). */
+    /** Start of the default ephemeral port range of Linux (net.ipv4.ip_local_port_range). */
     static final int FIRST_EPHEMERAL = 32_768;
 
-    private static final int FIRST = 10_000;
-    /** Ports of one run: a full run needs some 1,200, and the first ones are free again by then. */
-    private static final int BLOCK = 1_000;
+    private static final int FIRST_PORT = 10_000;
+    /** Ports per test run; a longer run reuses ports that have been released. */
+    private static final int BLOCK_SIZE = 1_000;
 
-    private static final FleetPorts RUN = new FleetPorts();
+    private static final FleetPorts CURRENT_RUN = new FleetPorts();
 
-    private final ServerSocket owner;
+    private final ServerSocket blockLock;
     private int last;
 
     FleetPorts() {
-        this.owner = claimBlock();
-        this.last = owner.getLocalPort();
+        this.blockLock = claimBlock();
+        this.last = blockLock.getLocalPort();
     }
 
     static int next() {
-        return RUN.draw();
+        return CURRENT_RUN.allocate();
     }
 
-    /** Gives the next port of the block that nothing listens on. */
-    synchronized int draw() {
-        for (int i = 0; i < BLOCK; i++) {
-            last = last + 1 < owner.getLocalPort() + BLOCK ? last + 1 : owner.getLocalPort() + 1;
+    /** Returns the next unused port of the block. */
+    synchronized int allocate() {
+        for (int i = 0; i < BLOCK_SIZE; i++) {
+            last = last + 1 < blockLock.getLocalPort() + BLOCK_SIZE ? last + 1 : blockLock.getLocalPort() + 1;
             if (isFree(last)) {
                 return last;
             }
         }
-        throw new IllegalStateException("no free port from " + owner.getLocalPort());
+        throw new IllegalStateException("no free port from " + blockLock.getLocalPort());
     }
 
     private static ServerSocket claimBlock() {
-        for (int first = FIRST; first + BLOCK <= FIRST_EPHEMERAL; first += BLOCK) {
+        for (int first = FIRST_PORT; first + BLOCK_SIZE <= FIRST_EPHEMERAL; first += BLOCK_SIZE) {
             try {
                 return new ServerSocket(first, 1, InetAddress.getLoopbackAddress());
             } catch (IOException e) {
-                // Another run holds this block.
+                // Another run has reserved this block.
                 continue;
             }
         }
--- a/integration/src/test/java/org/hallwall/integration/FleetPortsTest.java
+++ b/integration/src/test/java/org/hallwall/integration/FleetPortsTest.java
@@ -31,40 +31,42 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** A port given to a process of a fleet stays free until that process binds it. */
+/** Guards against port collisions within a test run and between concurrent runs. */
 class FleetPortsTest {
 
-    private static final int DRAWS = 400;
+    private static final int ALLOCATIONS = 400;
 
-    /** A fleet draws ports for its processes and opens proxies in turn, as here. */
+    /** Alternates allocations with ephemeral ports, as a fleet does for its processes and proxies. */
     @Test
-    void systemNeverGivesADrawnPortToSomeoneElse() throws IOException {
-        Set<Integer> drawn = new HashSet<>();
+    void allocatedPortIsNeverAssignedAsEphemeral() throws IOException {
+        Set<Integer> allocated = new HashSet<>();
         List<ServerSocket> proxies = new ArrayList<>();
         try {
-            for (int i = 0; i < DRAWS; i++) {
-                drawn.add(FleetPorts.next());
+            for (int i = 0; i < ALLOCATIONS; i++) {
+                allocated.add(FleetPorts.next());
                 ServerSocket proxy = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 proxies.add(proxy);
-                assertFalse(drawn.contains(proxy.getLocalPort()), "a proxy got the drawn port " + proxy.getLocalPort());
+                assertFalse(
+                        allocated.contains(proxy.getLocalPort()),
+                        "a proxy was assigned the allocated port " + proxy.getLocalPort());
             }
         } finally {
             for (ServerSocket p : proxies) {
                 p.close();
             }
         }
-        assertTrue(drawn.stream().allMatch(p -> p < FleetPorts.FIRST_EPHEMERAL));
+        assertTrue(allocated.stream().allMatch(p -> p < FleetPorts.FIRST_EPHEMERAL));
     }
 
     @Test
-    void twoRunsShareNoPort() {
+    void portsOfConcurrentRunsAreDisjoint() {
         FleetPorts other = new FleetPorts();
-        Set<Integer> drawn = new HashSet<>();
-        for (int i = 0; i < DRAWS; i++) {
-            drawn.add(FleetPorts.next());
+        Set<Integer> allocated = new HashSet<>();
+        for (int i = 0; i < ALLOCATIONS; i++) {
+            allocated.add(FleetPorts.next());
         }
-        for (int i = 0; i < DRAWS; i++) {
-            assertFalse(drawn.contains(other.draw()));
+        for (int i = 0; i < ALLOCATIONS; i++) {
+            assertFalse(allocated.contains(other.allocate()));
         }
     }
 }
--- a/integration/src/test/java/org/hallwall/integration/FleetProcess.java
+++ b/integration/src/test/java/org/hallwall/integration/FleetProcess.java
@@ -24,11 +24,11 @@
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 
-/** One process of a fleet, started by its launcher. */
+/** A process of a fleet, started by the launcher script of its program. */
 final class FleetProcess {
 
-    private static final Path HOME = Path.of("..", "dist", "target", "hallwall");
-    private static final long STOP_SECONDS = 30;
+    private static final Path DISTRIBUTION = Path.of("..", "dist", "target", "hallwall");
+    private static final long STOP_TIMEOUT_SECONDS = 30;
 
     private final String program;
     private final Path settings;
@@ -42,14 +42,14 @@
     }
 
     void start() throws IOException {
-        process = new ProcessBuilder(launcher(program), "--settings", settings.toString())
+        process = new ProcessBuilder(launcherPath(program), "--settings", settings.toString())
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
                 .start();
     }
 
-    static String launcher(String program) {
-        return HOME.resolve("bin").resolve(program).toString();
+    static String launcherPath(String program) {
+        return DISTRIBUTION.resolve("bin").resolve(program).toString();
     }
 
     void signal(String name) throws IOException, InterruptedException {
@@ -60,13 +60,13 @@
 
     void kill() throws InterruptedException {
         process.destroyForcibly();
-        process.waitFor(STOP_SECONDS, TimeUnit.SECONDS);
+        process.waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Asks the process to stop and waits; returns its exit code. */
+    /** Terminates the process gracefully and returns its exit code. */
     int stop() throws InterruptedException {
         process.destroy();
-        if (!process.waitFor(STOP_SECONDS, TimeUnit.SECONDS)) {
+        if (!process.waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             throw new IllegalStateException(program + " did not stop");
         }
         return process.exitValue();
@@ -76,7 +76,7 @@
         return process != null && process.isAlive();
     }
 
-    String log() throws IOException {
+    String readLog() throws IOException {
         return Files.exists(log) ? Files.readString(log) : "";
     }
 
--- a/integration/src/test/java/org/hallwall/integration/FleetTarget.java
+++ b/integration/src/test/java/org/hallwall/integration/FleetTarget.java
@@ -25,7 +25,7 @@
 import org.hallwall.core.settings.NetAddress;
 import org.hallwall.fakes.FakeAccount;
 
-/** A stand-in target as a test sees it: its own account and its fault switches. */
+/** Test access to a fake target: the runs and calls that it recorded, and fault injection. */
 final class FleetTarget {
 
     private final NetAddress address;
@@ -35,14 +35,15 @@
     }
 
     FakeAccount.Copy account() throws IOException {
-        String text = Http.send("GET", address, "/fake/account", null, Map.of()).text();
+        String text =
+                HttpCalls.send("GET", address, "/fake/account", null, Map.of()).text();
         return Json.MAPPER.readValue(text, FakeAccount.Copy.class);
     }
 
-    void faults(String json) throws IOException {
-        Http.Reply r = Http.send("POST", address, "/fake/faults", json, Map.of());
-        if (r.status() != 200) {
-            throw new IOException("fault not switched: " + r.text());
+    void setFaults(String json) throws IOException {
+        HttpCalls.Response response = HttpCalls.send("POST", address, "/fake/faults", json, Map.of());
+        if (response.status() != 200) {
+            throw new IOException("faults not applied: " + response.text());
         }
     }
 }
--- a/integration/src/test/java/org/hallwall/integration/FleetPlan.java
+++ b/integration/src/test/java/org/hallwall/integration/FleetTopology.java
@@ -23,43 +23,43 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What a fleet consists of. */
-final class FleetPlan {
+/** The voters, entries and targets of a fleet. */
+final class FleetTopology {
 
     final List<String> voters = new ArrayList<>();
     final Map<String, List<String>> entries = new TreeMap<>();
     final List<Target> targets = new ArrayList<>();
-    long darkAfterMillis = 60_000;
+    long unreachableAfterMillis = 60_000;
 
     /** Three voters, one failure domain with three entries. */
-    static FleetPlan oneDomain() {
-        FleetPlan plan = new FleetPlan();
-        plan.voters.addAll(List.of("v1", "v2", "v3"));
-        plan.entries.put("da", List.of("e1", "e2", "e3"));
-        return plan;
+    static FleetTopology oneDomain() {
+        FleetTopology topology = new FleetTopology();
+        topology.voters.addAll(List.of("v1", "v2", "v3"));
+        topology.entries.put("da", List.of("e1", "e2", "e3"));
+        return topology;
     }
 
     /** Three voters, two failure domains with one entry each. */
-    static FleetPlan twoDomains() {
-        FleetPlan plan = new FleetPlan();
-        plan.voters.addAll(List.of("v1", "v2", "v3"));
-        plan.entries.put("da", List.of("a1"));
-        plan.entries.put("db", List.of("b1"));
-        return plan;
+    static FleetTopology twoDomains() {
+        FleetTopology topology = new FleetTopology();
+        topology.voters.addAll(List.of("v1", "v2", "v3"));
+        topology.entries.put("da", List.of("a1"));
+        topology.entries.put("db", List.of("b1"));
+        return topology;
     }
 
-    FleetPlan engines(String domain, String fabric, int count, String extra) {
+    FleetTopology addEngines(String domain, String fabric, int count, String extra) {
         for (int i = 1; i <= count; i++) {
             targets.add(new Target(fabric + "-" + i, domain, fabric, extra));
         }
         return this;
     }
 
-    FleetPlan service(String domain, String service, String name) {
+    FleetTopology addService(String domain, String service, String name) {
         targets.add(new Target(name, domain, null, "\"service\": \"" + service + "\""));
         return this;
     }
 
-    /** A target; {@code extra} holds more of its settings. */
+    /** A target; {@code extra} is JSON that is appended to its settings. */
     record Target(String name, String domain, String fabric, String extra) {}
 }
--- a/integration/src/test/java/org/hallwall/integration/Http.java
+++ b/integration/src/test/java/org/hallwall/integration/HttpCalls.java
@@ -31,47 +31,49 @@
 import org.hallwall.core.settings.Json;
 import org.hallwall.core.settings.NetAddress;
 
-/** Plain HTTP calls of tests. */
-final class Http {
+/** Sends HTTP requests from tests. */
+final class HttpCalls {
 
     private static final HttpClient CLIENT =
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
     private static final Duration TIMEOUT = Duration.ofSeconds(40);
 
-    private Http() {}
+    private HttpCalls() {}
 
-    static Reply send(String method, NetAddress address, String path, String body, Map<String, String> headers)
+    static Response send(String method, NetAddress address, String path, String body, Map<String, String> headers)
             throws IOException {
         try {
-            return reply(
-                    CLIENT.send(request(method, address, path, body, headers), HttpResponse.BodyHandlers.ofString()));
+            return toResponse(CLIENT.send(
+                    buildRequest(method, address, path, body, headers), HttpResponse.BodyHandlers.ofString()));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException(e);
         }
     }
 
-    static CompletableFuture<Reply> sendAsync(
+    static CompletableFuture<Response> sendAsync(
             String method, NetAddress address, String path, String body, Map<String, String> headers) {
-        return CLIENT.sendAsync(request(method, address, path, body, headers), HttpResponse.BodyHandlers.ofString())
-                .thenApply(Http::reply);
+        return CLIENT.sendAsync(
+                        buildRequest(method, address, path, body, headers), HttpResponse.BodyHandlers.ofString())
+                .thenApply(HttpCalls::toResponse);
     }
 
-    static JsonReply json(String method, NetAddress address, String path, String body, Map<String, String> headers)
+    static JsonResponse sendForJson(
+            String method, NetAddress address, String path, String body, Map<String, String> headers)
             throws IOException {
-        Reply r = send(method, address, path, body, headers);
-        return new JsonReply(r.status(), Json.MAPPER.readTree(r.text()));
+        Response r = send(method, address, path, body, headers);
+        return new JsonResponse(r.status(), Json.MAPPER.readTree(r.text()));
     }
 
-    private static Reply reply(HttpResponse<String> r) {
-        return new Reply(
+    private static Response toResponse(HttpResponse<String> r) {
+        return new Response(
                 r.statusCode(),
                 r.body(),
                 r.headers().firstValue("Retry-After").orElse(null),
                 r.headers().firstValue("Content-Type").orElse(null));
     }
 
-    private static HttpRequest request(
+    private static HttpRequest buildRequest(
             String method, NetAddress address, String path, String body, Map<String, String> headers) {
         HttpRequest.Builder b = HttpRequest.newBuilder(URI.create("http://" + address + path))
                 .timeout(TIMEOUT)
@@ -82,8 +84,8 @@
         return b.build();
     }
 
-    /** A reply as text. */
-    record Reply(int status, String text, String retryAfter, String contentType) {
+    /** A response with its body as text. */
+    record Response(int status, String text, String retryAfter, String contentType) {
 
         JsonNode json() throws IOException {
             return Json.MAPPER.readTree(text);
@@ -94,6 +96,6 @@
         }
     }
 
-    /** A reply as JSON. */
-    record JsonReply(int status, JsonNode body) {}
+    /** A response with its body as JSON. */
+    record JsonResponse(int status, JsonNode body) {}
 }
--- a/integration/src/test/java/org/hallwall/integration/MapperNamesTest.java
+++ b/integration/src/test/java/org/hallwall/integration/MapperNamesTest.java
@@ -74,14 +74,14 @@
 import org.hallwall.wire.PeerKinds;
 import org.junit.jupiter.api.Test;
 
-/** The names that processes of different versions, stored data, settings and operators share do not change with the code. */
+/** Guards against accidental changes of the names used in peer messages, stored data, settings, dumps and metrics. */
 class MapperNamesTest {
 
     private static final Path ROOT = Path.of("").toAbsolutePath().getParent();
     private static final Pattern METRIC = Pattern.compile("\"(hallwall_[a-z_]+)\"");
     private static final Pattern LABELS = Pattern.compile("\\.labelNames\\(([^)]*)\\)");
 
-    private final ObjectMapper plain = new ObjectMapper();
+    private final ObjectMapper plainMapper = new ObjectMapper();
 
     @Test
     void peerMessages() {
@@ -92,15 +92,15 @@
         ClaimMessage.register(kinds);
         FeedMessage.register(kinds);
         StringBuilder out = new StringBuilder();
-        numbers(kinds).forEach((number, type) -> describe(out, "message " + number, type, plain));
-        numbers(ControlNode.kinds())
+        typesByNumber(kinds).forEach((number, type) -> describeType(out, "message " + number, type, plainMapper));
+        typesByNumber(ControlNode.kinds())
                 .forEach(
                         (number, type) -> out.append("platform ").append(number).append('\n'));
         Approvals.verify(out.toString());
     }
 
     @Test
-    void storedSettingsAndShown() {
+    void storedDataSettingsAndDumps() {
         Map<String, Class<?>> types = new TreeMap<>();
         types.putAll(ControlJsonTypes.types());
         types.putAll(EntryJsonTypes.types());
@@ -130,7 +130,7 @@
         types.put("answer to a cancelled run", RunCancelled.class);
         types.put("target in dumps", TargetDirectory.KnownTarget.class);
         StringBuilder out = new StringBuilder();
-        types.forEach((what, type) -> describe(out, what, type, Json.MAPPER));
+        types.forEach((what, type) -> describeType(out, what, type, Json.MAPPER));
         Approvals.verify(out.toString());
     }
 
@@ -160,7 +160,7 @@
         }
     }
 
-    private static Map<Integer, Class<?>> numbers(PeerKinds kinds) {
+    private static Map<Integer, Class<?>> typesByNumber(PeerKinds kinds) {
         Map<Integer, Class<?>> out = new TreeMap<>();
         try {
             for (Field f : PeerKinds.class.getDeclaredFields()) {
@@ -176,15 +176,16 @@
         return out;
     }
 
-    private static void describe(StringBuilder out, String what, Class<?> type, ObjectMapper mapper) {
+    private static void describeType(StringBuilder out, String what, Class<?> type, ObjectMapper mapper) {
         out.append(what).append('\n');
-        members(out, mapper.constructType(type), mapper, new ArrayDeque<>());
+        describeProperties(out, mapper.constructType(type), mapper, new ArrayDeque<>());
     }
 
-    private static void members(StringBuilder out, JavaType type, ObjectMapper mapper, Deque<Class<?>> path) {
+    private static void describeProperties(
+            StringBuilder out, JavaType type, ObjectMapper mapper, Deque<Class<?>> path) {
         Class<?> raw = type.getRawClass();
         if (type.isContainerType() || type.isReferenceType()) {
-            members(out, type.getContentType(), mapper, path);
+            describeProperties(out, type.getContentType(), mapper, path);
             return;
         }
         if (!raw.getName().startsWith("org.hallwall") || path.contains(raw)) {
@@ -201,19 +202,19 @@
             return;
         }
         path.push(raw);
-        Map<String, JavaType> written = written(type, mapper);
-        Map<String, JavaType> read = read(type, mapper);
+        Map<String, JavaType> written = writtenProperties(type, mapper);
+        Map<String, JavaType> read = readProperties(type, mapper);
         TreeSet<String> names = new TreeSet<>(written.keySet());
         names.addAll(read.keySet());
         for (String name : names) {
             String only = written.containsKey(name) ? read.containsKey(name) ? "" : " (written)" : " (read)";
             out.append(indent).append(name).append(only).append('\n');
-            members(out, written.getOrDefault(name, read.get(name)), mapper, path);
+            describeProperties(out, written.getOrDefault(name, read.get(name)), mapper, path);
         }
         path.pop();
     }
 
-    private static Map<String, JavaType> written(JavaType type, ObjectMapper mapper) {
+    private static Map<String, JavaType> writtenProperties(JavaType type, ObjectMapper mapper) {
         BeanDescription bean = mapper.getSerializationConfig().introspect(type);
         Map<String, JavaType> out = new TreeMap<>();
         if (bean.findJsonValueAccessor() == null) {
@@ -226,7 +227,7 @@
         return out;
     }
 
-    private static Map<String, JavaType> read(JavaType type, ObjectMapper mapper) {
+    private static Map<String, JavaType> readProperties(JavaType type, ObjectMapper mapper) {
         BeanDescription bean = mapper.getDeserializationConfig().introspect(type);
         Map<String, JavaType> out = new TreeMap<>();
         if (bean.findJsonValueAccessor() == null) {
--- a/integration/src/test/java/org/hallwall/integration/ModuleRulesTest.java
+++ b/integration/src/test/java/org/hallwall/integration/ModuleRulesTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Dependencies between modules point one way. */
+/** Checks the dependencies between modules and of the decision classes. */
 class ModuleRulesTest {
 
     private static final String ROOT = "org.hallwall.";
@@ -53,9 +53,9 @@
         "fakes, core program engine fakes",
         "load, core program resource engine domain fakes load"
     })
-    void modulesDependOneWay(String module, String allowed) {
+    void modulesDependOnlyOnAllowedModules(String module, String allowed) {
         DescribedPredicate<JavaClass> other = DescribedPredicate.describe(
-                "belong to another module", c -> c.getPackageName().startsWith(ROOT) && !isOf(c, allowed));
+                "belong to another module", c -> c.getPackageName().startsWith(ROOT) && !belongsToAny(c, allowed));
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideInAPackage(ROOT + module + "..")
@@ -64,7 +64,7 @@
                 .check(CLASSES);
     }
 
-    /** Decisions neither do I/O nor read a clock. */
+    /** Decision classes must neither perform I/O nor read a clock. */
     @ParameterizedTest
     @CsvSource({
         "log.LogReplica",
@@ -76,7 +76,7 @@
         "domain.LeaseElector",
         "domain.GroupPlanner"
     })
-    void decisionsArePure(String name) {
+    void decisionClassesArePure(String name) {
         ArchRuleDefinition.noClasses()
                 .that()
                 .haveFullyQualifiedName(ROOT + name)
@@ -86,9 +86,9 @@
                 .check(CLASSES);
     }
 
-    private static boolean isOf(JavaClass c, String allowed) {
-        for (String m : allowed.split(" ")) {
-            if (c.getPackageName().equals(ROOT + m) || c.getPackageName().startsWith(ROOT + m + ".")) {
+    private static boolean belongsToAny(JavaClass c, String allowed) {
+        for (String module : allowed.split(" ")) {
+            if (c.getPackageName().equals(ROOT + module) || c.getPackageName().startsWith(ROOT + module + ".")) {
                 return true;
             }
         }
--- a/integration/src/test/java/org/hallwall/integration/ProgramApprovalTest.java
+++ b/integration/src/test/java/org/hallwall/integration/ProgramApprovalTest.java
@@ -48,7 +48,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What programs print, as approved; and all sample settings are valid. */
+/** Checks the help texts, exit codes and settings errors of the programs, and that all sample settings are valid. */
 class ProgramApprovalTest {
 
     private static final Path SAMPLES = Path.of("..", "dist", "src", "main", "samples");
@@ -64,9 +64,9 @@
                 "hallwall"
             })
     void help(String program) {
-        Printed p = run(program, "--help");
-        assertEquals(ExitCode.SUCCESS, p.code);
-        approve(program, p.out);
+        ProgramOutput output = run(program, "--help");
+        assertEquals(ExitCode.SUCCESS, output.code);
+        verifyNamed(program, output.out);
     }
 
     @ParameterizedTest
@@ -79,14 +79,14 @@
                 "hallwall-experiment",
                 "hallwall"
             })
-    void wrongUse(String program) {
+    void invalidUsage(String program) {
         assertEquals(ExitCode.WRONG_USE, run(program, "--no-such-option").code);
         assertEquals(ExitCode.WRONG_USE, run(program).code);
         assertEquals(ExitCode.SUCCESS, run(program, "--version").code);
     }
 
     @Test
-    void settingsFaults(@TempDir Path folder) throws Exception {
+    void invalidSettings(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("entry.json");
         Files.writeString(file, """
                 {
@@ -96,16 +96,16 @@
                   "domainEntries": [], "voters": [{"instance": "v"}], "maxQueued": 0, "unknown": true,
                 }
                 """);
-        Printed p = run("hallwall-entry", "--settings", file.toString());
-        assertEquals(ExitCode.FAILURE, p.code);
-        Approvals.verify(p.err);
+        ProgramOutput output = run("hallwall-entry", "--settings", file.toString());
+        assertEquals(ExitCode.FAILURE, output.code);
+        Approvals.verify(output.err);
     }
 
     @ParameterizedTest
     @MethodSource("samples")
     void samplesAreValid(String program, Path sample) {
-        Printed p = run(program, "--settings", sample.toString(), "--check");
-        assertEquals(ExitCode.SUCCESS, p.code, p.err);
+        ProgramOutput output = run(program, "--settings", sample.toString(), "--check");
+        assertEquals(ExitCode.SUCCESS, output.code, output.err);
     }
 
     static Stream<Arguments> samples() throws IOException {
@@ -131,19 +131,19 @@
         return name.startsWith("fake") ? "hallwall-fake-engine" : "hallwall-load";
     }
 
-    private static void approve(String name, String text) {
+    private static void verifyNamed(String name, String text) {
         try (NamedEnvironment named = NamerFactory.withParameters(name)) {
             assertTrue(named != null);
             Approvals.verify(text);
         }
     }
 
-    private static Printed run(String program, String... args) {
+    private static ProgramOutput run(String program, String... args) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         ExitCode code = program(program)
                 .apply(new PrintStream[] {new PrintStream(out, true), new PrintStream(err, true)}, args);
-        return new Printed(code, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
+        return new ProgramOutput(code, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
     }
 
     private static BiFunction<PrintStream[], String[], ExitCode> program(String name) {
@@ -157,5 +157,5 @@
         };
     }
 
-    private record Printed(ExitCode code, String out, String err) {}
+    private record ProgramOutput(ExitCode code, String out, String err) {}
 }
--- a/integration/src/test/java/org/hallwall/integration/RequestFailureTest.java
+++ b/integration/src/test/java/org/hallwall/integration/RequestFailureTest.java
@@ -40,27 +40,27 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** One whole answer, or an honest refusal, while targets and links fail; judged by the targets' own accounts. */
+/** Checks that each request gets a complete response or the correct verdict while targets and links fail. */
 class RequestFailureTest {
 
-    private static final String NORMAL =
+    private static final String NO_FAULTS =
             "{\"paused\": false, \"leaving\": false, \"slowFactor\": 1, \"cutAfterToken\": -1,"
                     + " \"foreignFrames\": false, \"doubledFrames\": false, \"silentRuns\": false, \"cutService\": false,"
                     + " \"dieAfterToken\": -1}";
 
     private static Fleet fleet;
 
-    private Caller caller;
+    private EntryClient caller;
 
     @BeforeAll
     static void start() throws Exception {
-        FleetPlan plan = FleetPlan.oneDomain()
-                .engines("da", "fa", 2, "\"tokensPerSecond\": 100, \"weightMillis\": 100")
-                .engines("da", "fb", 2, "\"tokensPerSecond\": 100, \"weightMillis\": 100")
-                .service("da", "booking", "s1")
-                .service("da", "booking", "s2");
+        FleetTopology plan = FleetTopology.oneDomain()
+                .addEngines("da", "fa", 2, "\"tokensPerSecond\": 100, \"weightMillis\": 100")
+                .addEngines("da", "fb", 2, "\"tokensPerSecond\": 100, \"weightMillis\": 100")
+                .addService("da", "booking", "s1")
+                .addService("da", "booking", "s2");
         fleet = new Fleet(plan).start();
-        fleet.declare("{\"model\": \"x\", \"version\": \"1\", \"targetsPerReplica\": 2, \"replicas\": 2}");
+        fleet.declareResources("{\"model\": \"x\", \"version\": \"1\", \"targetsPerReplica\": 2, \"replicas\": 2}");
     }
 
     @AfterAll
@@ -69,91 +69,91 @@
     }
 
     @BeforeEach
-    void settle() {
+    void awaitGroupsAndClaims() {
         fleet.awaitGroups("da", 2);
         fleet.awaitClaims("da");
-        caller = new Caller(fleet.callers("e1"));
+        caller = new EntryClient(fleet.callersAddress("e1"));
     }
 
     @AfterEach
     void heal() throws IOException {
         fleet.healAll();
         for (FleetTarget t : fleet.targets()) {
-            t.faults(NORMAL);
+            t.setFaults(NO_FAULTS);
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void wholeAnswerThroughSlowLinks(boolean stream) throws IOException {
+    void completeResponseOverSlowLinks(boolean stream) throws IOException {
         for (String t : List.of("fa-1", "fa-2", "fb-1", "fb-2")) {
             fleet.targetProxy(t).delay(20);
         }
-        Http.Reply r = caller.chat("slow links " + stream, 12, stream);
+        HttpCalls.Response r = caller.chat("slow links " + stream, 12, stream);
         for (String t : List.of("fa-1", "fa-2", "fb-1", "fb-2")) {
             fleet.targetProxy(t).delay(0);
         }
-        assertWhole(r, "slow links " + stream, 12);
+        assertCompleteResponse(r, "slow links " + stream, 12);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"foreignFrames", "doubledFrames"})
-    void framesThatAreNotItsOwnAreDropped(String fault) throws IOException {
+    void foreignAndDuplicateFramesAreDropped(String fault) throws IOException {
         for (FleetTarget t : fleet.targets()) {
-            t.faults("{\"" + fault + "\": true}");
+            t.setFaults("{\"" + fault + "\": true}");
         }
-        assertWhole(caller.chat("own " + fault, 20, true), "own " + fault, 20);
+        assertCompleteResponse(caller.chat("own " + fault, 20, true), "own " + fault, 20);
     }
 
     @Test
-    void runGoesOnAfterItsConnectionBroke() throws IOException {
+    void runResumesAfterConnectionLoss() throws IOException {
         for (FleetTarget t : fleet.targets()) {
-            t.faults("{\"cutAfterToken\": 5}");
+            t.setFaults("{\"cutAfterToken\": 5}");
         }
-        assertWhole(caller.chat("cut", 20, true), "cut", 20);
-        assertEquals(1, runs("cut").size(), "the same run went on");
+        assertCompleteResponse(caller.chat("cut", 20, true), "cut", 20);
+        assertEquals(1, runs("cut").size(), "the run was resumed, not repeated");
     }
 
     @Test
-    void deadTargetBeforeFirstByteIsTriedElsewhere() throws IOException {
-        // The proxies of one group's targets refuse nothing, but break at once.
+    void requestIsRetriedElsewhereAfterFailureBeforeFirstByte() throws IOException {
+        // No target fails; the connections to fa-1 and fb-1 are reset before each request.
         for (FleetTarget t : fleet.targets()) {
-            t.faults("{\"dieAfterToken\": -1}");
+            t.setFaults("{\"dieAfterToken\": -1}");
         }
         for (int i = 0; i < 6; i++) {
             fleet.targetProxy("fa-1").reset();
             fleet.targetProxy("fb-1").reset();
-            assertWhole(caller.chat("reset " + i, 6, false), "reset " + i, 6);
+            assertCompleteResponse(caller.chat("reset " + i, 6, false), "reset " + i, 6);
         }
     }
 
     @Test
-    void notRepeatableRunsAtMostOnceWhenItsOutcomeIsLost() throws IOException {
+    void nonRepeatableCallRunsAtMostOnceWhenItsOutcomeIsLost() throws IOException {
         for (String s : List.of("s1", "s2")) {
-            fleet.target(s).faults("{\"cutService\": true}");
+            fleet.target(s).setFaults("{\"cutService\": true}");
         }
-        Http.Reply r = caller.call("POST", "/services/booking/reels", "{\"reel\": 7}");
+        HttpCalls.Response r = caller.send("POST", "/services/booking/reels", "{\"reel\": 7}");
         assertEquals(502, r.status());
         assertEquals("MAY_HAVE_RUN", r.verdict());
-        assertEquals(1, calls("{\"reel\": 7}"));
+        assertEquals(1, countCalls("{\"reel\": 7}"));
     }
 
     @Test
-    void repeatableCallIsRepeated() throws IOException {
-        fleet.target("s1").faults("{\"cutService\": true}");
+    void repeatableCallIsRetried() throws IOException {
+        fleet.target("s1").setFaults("{\"cutService\": true}");
         for (int i = 0; i < 4; i++) {
-            Http.Reply r = caller.call("PUT", "/services/booking/reels/" + i, "{\"put\": 1}");
+            HttpCalls.Response r = caller.send("PUT", "/services/booking/reels/" + i, "{\"put\": 1}");
             assertEquals(200, r.status(), r.text());
         }
     }
 
     @Test
-    void silentEngineIsGivenUpAtTheDeadlineAndNotBefore() throws IOException {
+    void unresponsiveEngineIsAbandonedAtTheDeadlineAndNotBefore() throws IOException {
         for (FleetTarget t : fleet.targets()) {
-            t.faults("{\"silentRuns\": true}");
+            t.setFaults("{\"silentRuns\": true}");
         }
         long before = System.nanoTime();
-        Http.Reply r = caller.chat("silent", 4_000, false, "Hallwall-Deadline-Ms", "1500");
+        HttpCalls.Response r = caller.chat("silent", 4_000, false, "Hallwall-Deadline-Ms", "1500");
         long millis = (System.nanoTime() - before) / 1_000_000;
         assertEquals(504, r.status());
         assertEquals("MAY_HAVE_RUN", r.verdict());
@@ -164,63 +164,64 @@
     }
 
     @Test
-    void leavingTargetGetsNothingNewAndFinishesWhatItHas() throws Exception {
-        List<CompletableFuture<Http.Reply>> running = new ArrayList<>();
+    void leavingTargetGetsNoNewRunsAndCompletesRunningOnes() throws Exception {
+        List<CompletableFuture<HttpCalls.Response>> running = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             running.add(caller.chatAsync("leaving " + i, 150, true));
         }
         Fleet.await().until(() -> countRuns("leaving ") == 6);
-        fleet.target("fa-1").faults("{\"leaving\": true}");
+        fleet.target("fa-1").setFaults("{\"leaving\": true}");
         Fleet.await().atMost(Duration.ofSeconds(2)).until(() -> fleet.usableGroups("e1") == 1);
         int before = fleet.target("fa-1").account().runs().size();
         for (int i = 0; i < 10; i++) {
-            assertWhole(caller.chat("after leaving " + i, 3, false), "after leaving " + i, 3);
+            assertCompleteResponse(caller.chat("after leaving " + i, 3, false), "after leaving " + i, 3);
         }
-        assertEquals(before, fleet.target("fa-1").account().runs().size(), "a leaving target gets nothing new");
+        assertEquals(before, fleet.target("fa-1").account().runs().size(), "a leaving target gets no new runs");
         for (int i = 0; i < 6; i++) {
-            assertWhole(running.get(i).join(), "leaving " + i, 150);
+            assertCompleteResponse(running.get(i).join(), "leaving " + i, 150);
         }
     }
 
     @Test
-    void noRunStartsOnAGroupThatMissesAMember() throws Exception {
-        fleet.target("fb-2").faults("{\"paused\": true}");
+    void noRunStartsOnAnIncompleteGroup() throws Exception {
+        fleet.target("fb-2").setFaults("{\"paused\": true}");
         long cutAt = System.currentTimeMillis();
         Fleet.await().until(() -> fleet.usableGroups("e1") == 1);
         for (int i = 0; i < 10; i++) {
-            assertWhole(caller.chat("paused " + i, 3, false), "paused " + i, 3);
+            assertCompleteResponse(caller.chat("paused " + i, 3, false), "paused " + i, 3);
         }
         for (FakeAccount.RunRecord r : fleet.target("fb-1").account().runs()) {
-            assertFalse(r.at() > cutAt + 2_000, "a run began " + (r.at() - cutAt) + " ms after the pause");
+            assertFalse(r.at() > cutAt + 2_000, "a run started " + (r.at() - cutAt) + " ms after the pause");
         }
-        fleet.target("fb-2").faults(NORMAL);
-        // A pause costs seconds and not a new group: the group is the one from before.
+        fleet.target("fb-2").setFaults(NO_FAULTS);
+        // The group becomes usable again once its member responds.
         fleet.awaitGroups("da", 2);
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void sameKeyRunsOnceAtAnyEntry(boolean stream) throws Exception {
+    void sameKeyRunsOnceAcrossEntries(boolean stream) throws Exception {
         String key = "key-" + stream;
-        List<CompletableFuture<Http.Reply>> replies = new ArrayList<>();
+        List<CompletableFuture<HttpCalls.Response>> replies = new ArrayList<>();
         for (String e : List.of("e1", "e2", "e3", "e1", "e2", "e3")) {
-            replies.add(new Caller(fleet.callers(e))
+            replies.add(new EntryClient(fleet.callersAddress(e))
                     .chatAsync("keyed " + stream, 40, stream, "Idempotency-Key", key, "Hallwall-Repeatable", "false"));
         }
-        for (CompletableFuture<Http.Reply> r : replies) {
-            assertWhole(r.join(), "keyed " + stream, 40);
+        for (CompletableFuture<HttpCalls.Response> r : replies) {
+            assertCompleteResponse(r.join(), "keyed " + stream, 40);
         }
-        // After the end the answer is kept.
-        Http.Reply again = new Caller(fleet.callers("e2"))
+        // The response stays available after the run has ended.
+        HttpCalls.Response retried = new EntryClient(fleet.callersAddress("e2"))
                 .chat("keyed " + stream, 40, stream, "Idempotency-Key", key, "Hallwall-Repeatable", "false");
-        assertWhole(again, "keyed " + stream, 40);
+        assertCompleteResponse(retried, "keyed " + stream, 40);
         assertEquals(1, runs("keyed " + stream).size());
     }
 
     @Test
-    void keyWithAnotherBodyIsRefused() throws IOException {
-        assertWhole(caller.chat("first body", 3, false, "Idempotency-Key", "k-body"), "first body", 3);
-        Http.Reply r = new Caller(fleet.callers("e3")).chat("other body", 3, false, "Idempotency-Key", "k-body");
+    void keyReusedWithDifferentBodyIsRejected() throws IOException {
+        assertCompleteResponse(caller.chat("first body", 3, false, "Idempotency-Key", "k-body"), "first body", 3);
+        HttpCalls.Response r =
+                new EntryClient(fleet.callersAddress("e3")).chat("other body", 3, false, "Idempotency-Key", "k-body");
         assertEquals(422, r.status());
         assertEquals("NOT_RUN", r.verdict());
     }
@@ -228,16 +229,16 @@
     @Test
     void keyedServiceCallRunsOnce() throws IOException {
         for (String e : List.of("e1", "e2", "e3")) {
-            Http.Reply r = new Caller(fleet.callers(e))
-                    .call("POST", "/services/booking/swap", "{\"swap\": 1}", "Idempotency-Key", "k-swap");
+            HttpCalls.Response r = new EntryClient(fleet.callersAddress(e))
+                    .send("POST", "/services/booking/swap", "{\"swap\": 1}", "Idempotency-Key", "k-swap");
             assertEquals(200, r.status(), r.text());
         }
-        assertEquals(1, calls("{\"swap\": 1}"));
+        assertEquals(1, countCalls("{\"swap\": 1}"));
     }
 
     @Test
-    void callerThatHasGoneCancelsItsRun() throws Exception {
-        CompletableFuture<Http.Reply> reply = caller.chatAsync("gone", 400, true);
+    void clientDisconnectCancelsItsRun() throws Exception {
+        CompletableFuture<HttpCalls.Response> reply = caller.chatAsync("gone", 400, true);
         Fleet.await().until(() -> runs("gone").size() == 1);
         reply.cancel(true);
         Fleet.await().untilAsserted(() -> {
@@ -247,16 +248,16 @@
         });
     }
 
-    static void assertWhole(Http.Reply r, String prompt, int tokens) throws IOException {
+    static void assertCompleteResponse(HttpCalls.Response r, String prompt, int tokens) throws IOException {
         assertEquals(200, r.status(), r.text());
-        assertEquals(FakeAnswer.whole(Caller.prompt(prompt), tokens), Caller.text(r));
+        assertEquals(FakeAnswer.whole(EntryClient.renderPrompt(prompt), tokens), EntryClient.responseText(r));
         if ("text/event-stream".equals(r.contentType())) {
             assertTrue(r.text().endsWith("data: [DONE]\n\n"));
         }
     }
 
     private static List<FakeAccount.RunRecord> runs(String prompt) throws IOException {
-        String hash = FakeAnswer.hash(Caller.prompt(prompt));
+        String hash = FakeAnswer.hash(EntryClient.renderPrompt(prompt));
         List<FakeAccount.RunRecord> out = new ArrayList<>();
         for (FleetTarget t : fleet.targets()) {
             for (FakeAccount.RunRecord r : t.account().runs()) {
@@ -276,7 +277,7 @@
         return n;
     }
 
-    private static int calls(String body) throws IOException {
+    private static int countCalls(String body) throws IOException {
         int n = 0;
         for (String s : List.of("s1", "s2")) {
             for (FakeAccount.CallRecord c : fleet.target(s).account().calls()) {
--- a/integration/src/test/java/org/hallwall/integration/StoredDataTest.java
+++ b/integration/src/test/java/org/hallwall/integration/StoredDataTest.java
@@ -45,7 +45,7 @@
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-/** Data stored by an earlier version can be read. */
+/** Checks that data stored by an earlier version can be read. */
 class StoredDataTest {
 
     private static final Path STORED = Path.of("src", "test", "resources", "stored");
--- a/integration/src/test/java/org/hallwall/integration/WireNamesTest.java
+++ b/integration/src/test/java/org/hallwall/integration/WireNamesTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The names of the users' platform stand in its adapter alone. */
+/** Checks that the wire names of the customers' platform occur only in the platform adapter. */
 class WireNamesTest {
 
     private static final Path ROOT = Path.of("").toAbsolutePath().getParent();
@@ -45,7 +45,7 @@
                 "\"" + "pathPrefix\"",
                 "HALLWALL_" + "NODE_FILE"
             })
-    void standInTheAdapterAlone(String name) throws IOException {
+    void appearOnlyInPlatformAdapter(String name) throws IOException {
         Assertions.assertEquals(List.of(), sourcesWith(name));
     }
 
--- a/integration/src/test/java/org/hallwall/integration/package-info.java
+++ b/integration/src/test/java/org/hallwall/integration/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** Tests with real processes, started by the real launchers, behind a fault proxy. */
+/** End-to-end tests that start the packaged programs and inject faults through proxies, and tests across modules. */
 package org.hallwall.integration;
