--- a/examples/src/main/java/org/hallwall/examples/PlanGroups.java
+++ b/examples/src/main/java/org/hallwall/examples/PlanGroups.java
@@ -39,18 +39,18 @@
 import org.hallwall.resource.ModelGroupSpec;
 import org.hallwall.resource.RepairPolicy;
 
-/** Plans the groups of a small failure domain, without any process running. */
+/** Runs the group planner on a small failure domain without starting any process. */
 public final class PlanGroups {
 
-    private static final int TARGETS_A_FABRIC = 4;
-    private static final long NOW = 10_000;
+    private static final int TARGETS_PER_FABRIC_DOMAIN = 4;
+    private static final long NOW_MILLIS = 10_000;
 
     private PlanGroups() {}
 
     /**
-     * Prints the steps that the planner wants to take.
+     * Prints the planned steps.
      *
-     * @param args not used
+     * @param args ignored
      */
     public static void main(String[] args) {
         for (GroupStep step : plan()) {
@@ -59,23 +59,23 @@
     }
 
     /**
-     * Plans two replicas of two targets on two fabric domains of four.
+     * Plans two replicas of two targets each, on two fabric domains of four targets each.
      *
-     * @return the steps
+     * @return the planned steps
      */
     public static List<GroupStep> plan() {
         List<KnownTarget> targets = new ArrayList<>();
-        for (int i = 0; i < 2 * TARGETS_A_FABRIC; i++) {
-            targets.add(idle("target-" + i, "fabric-" + i / TARGETS_A_FABRIC));
+        for (int i = 0; i < 2 * TARGETS_PER_FABRIC_DOMAIN; i++) {
+            targets.add(idleTarget("target-" + i, "fabric-" + i / TARGETS_PER_FABRIC_DOMAIN));
         }
         ModelGroupSpec spec = new ModelGroupSpec("model", "1", null, 2, 2, null, RepairPolicy.GROUP_DOWNTIME, 1);
         WantedGroup wanted = new WantedGroup(new ModelGroupId("menu"), 1, spec, 2);
-        GroupPlanInput input = new GroupPlanInput(NOW, targets, List.of(wanted), Map.of(), Set.of(), 0);
+        GroupPlanInput input = new GroupPlanInput(NOW_MILLIS, targets, List.of(wanted), Map.of(), Set.of(), 0);
         return new GroupPlanner(DomainTiming.DEFAULT).plan(input);
     }
 
-    private static KnownTarget idle(String name, String fabric) {
-        Announcement a = new Announcement(
+    private static KnownTarget idleTarget(String name, String fabric) {
+        Announcement announcement = new Announcement(
                 new InstanceId(name),
                 "boot",
                 1,
@@ -93,6 +93,6 @@
                 null,
                 null,
                 false);
-        return new KnownTarget(a, NOW);
+        return new KnownTarget(announcement, NOW_MILLIS);
     }
 }
--- a/examples/src/main/java/org/hallwall/examples/package-info.java
+++ b/examples/src/main/java/org/hallwall/examples/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** Small programs that show how to use hallwall's modules. */
+/** Example programs that use the modules of hallwall as libraries. */
 package org.hallwall.examples;
--- a/examples/src/test/java/org/hallwall/examples/PlanGroupsTest.java
+++ b/examples/src/test/java/org/hallwall/examples/PlanGroupsTest.java
@@ -22,6 +22,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+/** Checks that the example plans a group for each replica. */
 class PlanGroupsTest {
 
     @Test
