--- a/simulation/src/main/java/org/hallwall/simulation/DayResult.java
+++ b/simulation/src/main/java/org/hallwall/simulation/EngineTiming.java
@@ -18,15 +18,13 @@
  */
 package org.hallwall.simulation;
 
-import java.util.Map;
-
 /**
- * What became of a simulated day.
+ * Timing of one inference step of a group, before scaling by the model's pace.
  *
- * @param worth the worth earned, in parts of what was asked for
- * @param refused the streams that were refused in the end, in parts of all
- * @param late those that were late, in parts of all
- * @param byKind the worth earned by kind, in parts of what was asked for
- * @param loads the loads from the store after callers came
+ * @param stepMillis the base duration of a step, in milliseconds
+ * @param perSequenceMillis the additional duration per decoding stream, in milliseconds
+ * @param prefillTokensPerMilli the prefill throughput, in tokens per millisecond
+ * @param prefillChunkTokens the maximum number of prefill tokens per step
  */
-public record DayResult(double worth, double refused, double late, Map<String, Double> byKind, int loads) {}
+public record EngineTiming(
+        double stepMillis, double perSequenceMillis, double prefillTokensPerMilli, int prefillChunkTokens) {}
--- a/simulation/src/main/java/org/hallwall/simulation/ExperimentMain.java
+++ b/simulation/src/main/java/org/hallwall/simulation/ExperimentMain.java
@@ -34,7 +34,7 @@
 import org.hallwall.serving.decision.Mechanism;
 import org.hallwall.serving.decision.Mechanisms;
 
-/** The program {@code hallwall-experiment}: what each mechanism of the decisions is worth on simulated days. */
+/** Command-line entry point of {@code hallwall-experiment}, an ablation study of the planner mechanisms on simulated load. */
 public final class ExperimentMain {
 
     private ExperimentMain() {}
@@ -50,10 +50,10 @@
     }
 
     /**
-     * Runs the program with the given streams.
+     * Runs the program with the given output streams.
      *
-     * @param out where the table goes
-     * @param err where faults go
+     * @param out receives the result table
+     * @param err receives error messages
      * @param args the command line
      * @return the exit code
      */
@@ -64,7 +64,7 @@
             err.println("hallwall-experiment: " + e.getMessage() + " (see --help)");
             return ExitCode.WRONG_USE;
         } catch (IllegalArgumentException e) {
-            err.println("hallwall-experiment: unknown pattern, mechanism or count: " + e.getMessage());
+            err.println("hallwall-experiment: invalid pattern, mechanism or seed count: " + e.getMessage());
             return ExitCode.WRONG_USE;
         }
     }
@@ -84,20 +84,21 @@
         LoadPattern pattern = LoadPattern.valueOf(line.getOptionValue("pattern"));
         int seeds = Integer.parseInt(line.getOptionValue("seeds"));
         if (seeds < 2) {
-            throw new ParseException("a comparison takes two seeds at least");
+            throw new ParseException("--seeds must be at least 2");
         }
         Mechanism[] chosen = line.hasOption("without")
                 ? new Mechanism[] {Mechanism.valueOf(line.getOptionValue("without"))}
                 : Mechanism.values();
-        table(out, pattern, chosen, seeds);
+        printTable(out, pattern, chosen, seeds);
         return ExitCode.SUCCESS;
     }
 
-    /** One line for each mechanism: the worth with all, and how it changes without this one. */
-    private static void table(PrintStream out, LoadPattern pattern, Mechanism[] mechanisms, int seeds) {
+    /** Prints, per mechanism, the worth with all mechanisms and the change when this one is disabled. */
+    private static void printTable(PrintStream out, LoadPattern pattern, Mechanism[] mechanisms, int seeds) {
         out.println("pattern            without           worth  change  95 in 100");
         for (Mechanism m : mechanisms) {
-            Comparison c = Comparison.of(pattern.site(), Mechanisms.ALL, Mechanisms.without(m), seeds);
+            PolicyComparison c =
+                    PolicyComparison.compare(pattern.scenario(), Mechanisms.ALL, Mechanisms.without(m), seeds);
             out.printf(
                     Locale.ROOT,
                     "%-18s %-16s  %.3f  %+.3f  +-%.3f%n",
@@ -105,7 +106,7 @@
                     m,
                     c.mean(),
                     c.difference(),
-                    c.interval());
+                    c.halfWidth());
         }
     }
 
--- a/simulation/src/main/java/org/hallwall/simulation/Comparison.java
+++ b/simulation/src/main/java/org/hallwall/simulation/PolicyComparison.java
@@ -27,32 +27,33 @@
 import org.hallwall.serving.decision.Mechanisms;
 
 /**
- * Two policies on the same days.
+ * A paired comparison of two policies on the same seeds.
  *
- * @param days how many days
- * @param mean the mean worth with the first policy
- * @param difference how much more the second one earns, in the mean
- * @param interval half of the width of the interval that holds the true difference in 95 of 100 cases
+ * @param runs the number of simulation runs per policy
+ * @param mean the mean worth under the first policy
+ * @param difference the mean worth of the second policy minus that of the first
+ * @param halfWidth half of the width of the 95% confidence interval of the difference
  */
-public record Comparison(int days, double mean, double difference, double interval) {
+public record PolicyComparison(int runs, double mean, double difference, double halfWidth) {
 
-    private static final double UPPER = 0.975;
+    private static final double QUANTILE = 0.975;
 
     /**
      * Compares two policies.
      *
-     * @param site the deployment
-     * @param first a policy
-     * @param second another one
-     * @param seeds how many days
-     * @return the difference
+     * @param scenario the deployment and its load
+     * @param first the baseline policy
+     * @param second the policy to compare with it
+     * @param seeds the number of simulation runs per policy
+     * @return the comparison
      */
-    public static Comparison of(SimulatedSite site, Mechanisms first, Mechanisms second, int seeds) {
+    public static PolicyComparison compare(
+            SimulationScenario scenario, Mechanisms first, Mechanisms second, int seeds) {
         List<double[]> pairs = new ArrayList<>(LongStream.range(0, seeds)
                 .parallel()
                 .mapToObj(seed -> new double[] {
-                    SimulatedDay.play(site, first, seed).worth(),
-                    SimulatedDay.play(site, second, seed).worth()
+                    SimulationRun.run(scenario, first, seed).worth(),
+                    SimulationRun.run(scenario, second, seed).worth()
                 })
                 .toList());
         double mean = pairs.stream().mapToDouble(p -> p[0]).average().orElse(0);
@@ -62,13 +63,13 @@
                 .mapToDouble(p -> Math.pow(p[1] - p[0] - difference, 2))
                 .sum();
         double error = Math.sqrt(squares / (seeds - 1) / seeds);
-        return new Comparison(
-                seeds, mean, difference, error * TDistribution.of(seeds - 1).inverseCumulativeProbability(UPPER));
+        return new PolicyComparison(
+                seeds, mean, difference, error * TDistribution.of(seeds - 1).inverseCumulativeProbability(QUANTILE));
     }
 
-    /** Gives the line of a table. */
+    /** Returns the result as one line of text. */
     @Override
     public String toString() {
-        return String.format(Locale.ROOT, "%.3f %+.3f ±%.3f (%d days)", mean, difference, interval, days);
+        return String.format(Locale.ROOT, "%.3f %+.3f ±%.3f (%d runs)", mean, difference, halfWidth, runs);
     }
 }
--- a/simulation/src/main/java/org/hallwall/simulation/CallerKind.java
+++ b/simulation/src/main/java/org/hallwall/simulation/RequestClass.java
@@ -19,27 +19,27 @@
 package org.hallwall.simulation;
 
 /**
- * A kind of stream that callers ask for.
+ * A class of requests with common arrival rate, lengths and latency objectives.
  *
- * @param name its name
- * @param model the model
- * @param perSecond how many come in a second
- * @param promptTokens the mean length of the prompt
- * @param answerTokens the mean length of the answer
- * @param objectiveMillis the time in which the first event earns the full worth
- * @param pauseMillis the longest pause that earns the full worth
- * @param deadlineMillis how long a caller waits
- * @param worth what an answer in time is worth
- * @param lateWorth what a late one is worth
+ * @param name the name in results
+ * @param model the requested model
+ * @param arrivalsPerSecond the mean arrival rate
+ * @param meanPromptTokens the mean prompt length
+ * @param meanOutputTokens the mean output length
+ * @param firstTokenObjectiveMillis the latest first event that still counts as in time
+ * @param interTokenObjectiveMillis the longest gap between events that still counts as in time
+ * @param deadlineMillis the caller's deadline
+ * @param worth the worth of a response that meets both objectives
+ * @param lateWorth the worth of a response that misses one
  */
-public record CallerKind(
+public record RequestClass(
         String name,
         String model,
-        double perSecond,
-        double promptTokens,
-        double answerTokens,
-        long objectiveMillis,
-        long pauseMillis,
+        double arrivalsPerSecond,
+        double meanPromptTokens,
+        double meanOutputTokens,
+        long firstTokenObjectiveMillis,
+        long interTokenObjectiveMillis,
         long deadlineMillis,
         double worth,
         double lateWorth) {}
--- a/simulation/src/main/java/org/hallwall/simulation/SimulatedEngine.java
+++ b/simulation/src/main/java/org/hallwall/simulation/SimulatedEngine.java
@@ -30,23 +30,23 @@
 import org.hallwall.serving.target.GroupState;
 import org.hallwall.serving.target.TargetRecord;
 
-/** One model engine: its host's model, its own, its place in a group, and what it is about to do. */
+/** A model engine: the weights staged on its host, the loaded model, its group membership and pending transitions. */
 final class SimulatedEngine {
 
-    private static final NetAddress NOWHERE = new NetAddress("127.0.0.1", 1);
+    private static final NetAddress UNUSED_ADDRESS = new NetAddress("127.0.0.1", 1);
 
     final InstanceId id;
     final String failureDomain;
     final String fabricDomain;
-    String staged;
-    String model;
-    GroupMark mark;
-    TargetOrder.Join join;
-    long joinedAt = Long.MAX_VALUE;
-    long opensAt = Long.MAX_VALUE;
-    boolean dark;
-    long darkSince;
-    boolean held;
+    String stagedModel;
+    String loadedModel;
+    GroupMark membership;
+    TargetOrder.Join joinOrder;
+    long joinedAtMillis = Long.MAX_VALUE;
+    long opensAtMillis = Long.MAX_VALUE;
+    boolean unreachable;
+    long unreachableSinceMillis;
+    boolean markedFailed;
 
     SimulatedEngine(String name, String failureDomain, String fabricDomain) {
         this.id = new InstanceId(name);
@@ -54,32 +54,32 @@
         this.fabricDomain = fabricDomain;
     }
 
-    /** Gives the engine as the planners see it. */
-    Engine view(String service, boolean silent) {
+    /** Returns the planners' view of this engine. */
+    Engine toEngine(String service, boolean silent) {
         TargetRecord r = new TargetRecord(
                 id,
                 1,
                 service,
-                NOWHERE,
+                UNUSED_ADDRESS,
                 failureDomain,
                 1,
                 TargetRecord.Presence.SERVING,
                 fabricDomain,
-                mark != null && mark.state().hasJoined() ? model : null,
-                staged == null ? List.of() : List.of(staged),
-                mark);
-        return new Engine(r, model, held, silent);
+                membership != null && membership.state().hasJoined() ? loadedModel : null,
+                stagedModel == null ? List.of() : List.of(stagedModel),
+                membership);
+        return new Engine(r, loadedModel, markedFailed, silent);
     }
 
     boolean isHeadOf(String group) {
-        return mark != null && mark.rank() == 0 && mark.name().equals(group);
+        return membership != null && membership.rank() == 0 && membership.name().equals(group);
     }
 
     void setState(GroupState state) {
-        mark = new GroupMark(mark.name(), mark.epoch(), mark.rank(), state);
+        membership = new GroupMark(membership.name(), membership.epoch(), membership.rank(), state);
     }
 
     Set<InstanceId> members() {
-        return join == null ? Set.of() : new HashSet<>(join.members());
+        return joinOrder == null ? Set.of() : new HashSet<>(joinOrder.members());
     }
 }
--- a/simulation/src/main/java/org/hallwall/simulation/SimulatedFleet.java
+++ b/simulation/src/main/java/org/hallwall/simulation/SimulatedFleet.java
@@ -38,22 +38,22 @@
 import org.hallwall.serving.target.GroupMark;
 import org.hallwall.serving.target.GroupState;
 
-/** All engines, the orders that the planners give them, and what becomes of these. */
+/** The engines of a deployment and the controller that runs the planners and applies their orders. */
 final class SimulatedFleet {
 
     private static final String SERVICE = "llm";
-    /** How long a silent member of a group with streams goes unnoticed, in milliseconds: a question and the probes. */
-    private static final long NOTICED_MILLIS = 500;
-    /** How long one without is not yet thought silent, in milliseconds: 2.5 heartbeats. */
-    private static final long SILENT_MILLIS = 3_000;
-    /** How long such a one is not yet held for dead, in milliseconds. */
-    private static final long DEAD_MILLIS = 20_000;
-    /** How long a join takes that needs neither load nor host, in milliseconds. */
-    private static final long QUICK_JOIN_MILLIS = 200;
-    /** Loads begun before callers come take this part of their time. */
-    private static final double LEAD_PART = 0.1;
+    /** Time to detect an unreachable member of a group with active streams, in milliseconds. */
+    private static final long ACTIVE_DETECTION_MILLIS = 500;
+    /** Time without heartbeats after which the planners treat an engine as silent, in milliseconds: 2.5 heartbeats. */
+    private static final long SILENCE_THRESHOLD_MILLIS = 3_000;
+    /** Time to declare any other unreachable engine failed, in milliseconds. */
+    private static final long IDLE_DETECTION_MILLIS = 20_000;
+    /** Duration of a join when the engine already has the model loaded, in milliseconds. */
+    private static final long LOADED_JOIN_MILLIS = 200;
+    /** Factor on the duration of loads started during warm-up. */
+    private static final double WARM_UP_LOAD_FACTOR = 0.1;
 
-    private final SimulatedSite site;
+    private final SimulationScenario scenario;
     private final EngineSpec spec;
     private final UniformRandomProvider random;
     private final GroupPlan plan;
@@ -61,176 +61,186 @@
     private final LoadPacer pacer = new LoadPacer();
     private final WeightStore store;
     private final Map<InstanceId, SimulatedEngine> engines = new LinkedHashMap<>();
-    private final Map<String, GroupRun> runs = new LinkedHashMap<>();
-    private int named;
-    private int loads;
+    private final Map<String, SimulatedGroup> groups = new LinkedHashMap<>();
+    private int engineCount;
+    private int loadCount;
 
-    SimulatedFleet(SimulatedSite site, Mechanisms mechanisms, UniformRandomProvider random) {
-        this.site = site;
-        this.spec = site.spec();
+    SimulatedFleet(SimulationScenario scenario, Mechanisms mechanisms, UniformRandomProvider random) {
+        this.scenario = scenario;
+        this.spec = scenario.spec();
         this.random = random;
         this.plan = new GroupPlan(1, mechanisms);
         this.staging = new StagingPlan(mechanisms);
         this.store = new WeightStore(spec.loadsAtOnce());
-        for (int d = 0; d < site.fabricDomains(); d++) {
-            for (int n = 0; n < site.enginesPerDomain(); n++) {
-                add(d);
+        for (int d = 0; d < scenario.fabricDomains(); d++) {
+            for (int n = 0; n < scenario.enginesPerDomain(); n++) {
+                addEngine(d);
             }
         }
     }
 
-    void add(int domain) {
-        int d = domain < 0 ? random.nextInt(site.fabricDomains()) : domain;
-        SimulatedEngine e = new SimulatedEngine("i-" + (1_000 + ++named), "z" + d % site.failureDomains(), "d" + d);
+    void addEngine(int domain) {
+        int d = domain < 0 ? random.nextInt(scenario.fabricDomains()) : domain;
+        SimulatedEngine e =
+                new SimulatedEngine("i-" + (1_000 + ++engineCount), "z" + d % scenario.failureDomains(), "d" + d);
         engines.put(e.id, e);
     }
 
-    /** Loses an engine that is a member of a group, if there is one. */
-    void loseMember() {
+    /** Makes a random reachable group member permanently unreachable, if there is one. */
+    void failRandomMember() {
         List<SimulatedEngine> inGroups = new ArrayList<>();
-        for (GroupRun r : runs.values()) {
+        for (SimulatedGroup r : groups.values()) {
             r.members().stream()
                     .map(engines::get)
-                    .filter(e -> e != null && !e.dark)
+                    .filter(e -> e != null && !e.unreachable)
                     .forEach(inGroups::add);
         }
         if (!inGroups.isEmpty()) {
             SimulatedEngine e = inGroups.get(random.nextInt(inGroups.size()));
-            e.dark = true;
-            e.darkSince = now;
-            store.forget(e);
+            e.unreachable = true;
+            e.unreachableSinceMillis = now;
+            store.cancelLoad(e);
         }
     }
 
-    void darken(int domain, boolean dark) {
+    void setDomainUnreachable(int domain, boolean unreachable) {
         for (SimulatedEngine e : engines.values()) {
             if (e.fabricDomain.equals("d" + domain)) {
-                e.dark = dark;
-                e.darkSince = now;
+                e.unreachable = unreachable;
+                e.unreachableSinceMillis = now;
             }
         }
     }
 
     private long now;
 
-    /** Lets the fleet and its controller go on to a moment. */
-    void pass(long until, Map<String, Integer> streams) {
+    /** Advances the fleet and its controller to the given time. */
+    void advanceTo(long until, Map<String, Integer> streams) {
         long millis = until - now;
         now = until;
-        for (SimulatedEngine e : store.pass(millis)) {
+        for (SimulatedEngine e : store.advance(millis)) {
             pacer.ended(e.id);
         }
-        engines.values().forEach(this::advance);
-        breakGroups();
-        control(streams);
+        engines.values().forEach(this::advanceMembership);
+        detectFailures();
+        runController(streams);
     }
 
-    /** Lists the groups that callers' streams may go to. */
-    List<GroupRun> open(String model) {
-        List<GroupRun> out = new ArrayList<>();
-        for (GroupRun r : runs.values()) {
+    /** Returns the groups of a model that accept streams. */
+    List<SimulatedGroup> openGroups(String model) {
+        List<SimulatedGroup> out = new ArrayList<>();
+        for (SimulatedGroup r : groups.values()) {
             SimulatedEngine head = engines.get(r.head());
-            boolean open =
-                    head != null && !head.held && head.isHeadOf(r.name()) && head.mark.state() == GroupState.OPEN;
-            boolean noticed = r.members().stream().anyMatch(id -> engines.get(id).held);
-            if (open && !noticed && r.model().equals(model)) {
+            boolean open = head != null
+                    && !head.markedFailed
+                    && head.isHeadOf(r.name())
+                    && head.membership.state() == GroupState.OPEN;
+            boolean memberFailed = r.members().stream().anyMatch(id -> engines.get(id).markedFailed);
+            if (open && !memberFailed && r.model().equals(model)) {
                 out.add(r);
             }
         }
         return out;
     }
 
-    /** Takes the streams out of groups that no longer serve. */
-    List<SimulatedStream> stranded() {
+    /** Removes groups that no longer serve and returns their streams. */
+    List<SimulatedStream> removeStrandedStreams() {
         List<SimulatedStream> out = new ArrayList<>();
-        runs.values().removeIf(r -> {
+        groups.values().removeIf(r -> {
             SimulatedEngine head = engines.get(r.head());
             boolean serves = head != null
                     && head.isHeadOf(r.name())
-                    && head.mark.state().holdsMembers()
-                    && r.members().stream().noneMatch(id -> engines.get(id).held);
+                    && head.membership.state().holdsMembers()
+                    && r.members().stream().noneMatch(id -> engines.get(id).markedFailed);
             if (!serves) {
-                out.addAll(r.takeAll());
+                out.addAll(r.removeAllStreams());
             }
             return !serves;
         });
         return out;
     }
 
-    Iterable<GroupRun> runs() {
-        return runs.values();
+    Iterable<SimulatedGroup> groups() {
+        return groups.values();
     }
 
-    /** Whether nothing moves at a group, because a member is silent or has gone elsewhere. */
-    boolean stands(GroupRun r) {
+    /** Returns whether a group makes no progress because a member is unreachable or has left. */
+    boolean isStalled(SimulatedGroup r) {
         for (InstanceId id : r.members()) {
             SimulatedEngine e = engines.get(id);
-            if (e.dark || e.mark == null || !e.mark.name().equals(r.name())) {
+            if (e.unreachable || e.membership == null || !e.membership.name().equals(r.name())) {
                 return true;
             }
         }
         return false;
     }
 
-    int loads() {
-        return loads;
+    int loadCount() {
+        return loadCount;
     }
 
     int openCount(String model) {
-        return open(model).size();
+        return openGroups(model).size();
     }
 
-    // --- engines
+    // --- engine state
 
-    private void advance(SimulatedEngine e) {
-        if (e.dark || e.mark == null) {
+    private void advanceMembership(SimulatedEngine e) {
+        if (e.unreachable || e.membership == null) {
             return;
         }
-        if (e.mark.state() == GroupState.JOINING && now >= e.joinedAt) {
-            e.model = e.join.model();
+        if (e.membership.state() == GroupState.JOINING && now >= e.joinedAtMillis) {
+            e.loadedModel = e.joinOrder.model();
             e.setState(GroupState.READY);
         }
-        if (e.mark.state() == GroupState.READY && now >= e.opensAt) {
-            e.opensAt = Long.MAX_VALUE;
+        if (e.membership.state() == GroupState.READY && now >= e.opensAtMillis) {
+            e.opensAtMillis = Long.MAX_VALUE;
             e.setState(GroupState.OPEN);
-            runs.put(e.mark.name(), new GroupRun(e.join, spec, site.pace(), now));
+            groups.put(e.membership.name(), new SimulatedGroup(e.joinOrder, spec, scenario.timing(), now));
         }
-        GroupRun r = runs.get(e.mark.name());
-        if (e.mark.rank() == 0 && e.mark.state() == GroupState.CLOSING && (r == null || r.running() == 0)) {
+        SimulatedGroup r = groups.get(e.membership.name());
+        if (e.membership.rank() == 0
+                && e.membership.state() == GroupState.CLOSING
+                && (r == null || r.activeStreams() == 0)) {
             e.setState(GroupState.READY);
         }
     }
 
-    private void breakGroups() {
+    private void detectFailures() {
         for (SimulatedEngine e : engines.values()) {
-            GroupRun r = e.mark == null ? null : runs.get(e.mark.name());
-            boolean seen = r != null && r.running() > 0;
-            long silence = e.dark ? now - e.darkSince : 0;
-            e.held = e.dark && (silence > DEAD_MILLIS || seen && silence > NOTICED_MILLIS || e.held);
+            SimulatedGroup r = e.membership == null ? null : groups.get(e.membership.name());
+            boolean active = r != null && r.activeStreams() > 0;
+            long silence = e.unreachable ? now - e.unreachableSinceMillis : 0;
+            e.markedFailed = e.unreachable
+                    && (silence > IDLE_DETECTION_MILLIS
+                            || active && silence > ACTIVE_DETECTION_MILLIS
+                            || e.markedFailed);
         }
     }
 
-    // --- the controller
+    // --- controller
 
-    private void control(Map<String, Integer> streams) {
-        Map<InstanceId, Engine> seen = new LinkedHashMap<>();
+    private void runController(Map<String, Integer> streams) {
+        Map<InstanceId, Engine> view = new LinkedHashMap<>();
         for (SimulatedEngine e : engines.values()) {
-            seen.put(e.id, e.view(SERVICE, e.dark && now - e.darkSince > SILENT_MILLIS));
+            view.put(
+                    e.id,
+                    e.toEngine(SERVICE, e.unreachable && now - e.unreachableSinceMillis > SILENCE_THRESHOLD_MILLIS));
         }
-        for (GroupAction a : plan.step(now, spec, streams, seen)) {
-            take(engines.get(a.target().id()), a.order());
+        for (GroupAction a : plan.step(now, spec, streams, view)) {
+            applyOrder(engines.get(a.target().id()), a.order());
         }
-        for (StageOrder o : staging.step(now, spec, plan.packing(), plan.free(seen), seen)) {
+        for (StageOrder o : staging.step(now, spec, plan.packing(), plan.free(view), view)) {
             SimulatedEngine e = engines.get(o.target().id());
-            if (!e.dark && !store.isLoading(e) && begins(e, o)) {
+            if (!e.unreachable && !store.isLoading(e) && tryStartLoad(e, o)) {
                 staging.begun(e.id);
-                take(e, new TargetOrder.Stage(o.model()));
+                applyOrder(e, new TargetOrder.Stage(o.model()));
             }
         }
     }
 
-    private boolean begins(SimulatedEngine e, StageOrder o) {
-        if (now < site.leadMillis()) {
+    private boolean tryStartLoad(SimulatedEngine e, StageOrder o) {
+        if (now < scenario.warmUpMillis()) {
             return pacer.tryBegin(e.id, o.model(), Integer.MAX_VALUE, Integer.MAX_VALUE, now);
         }
         return o.isSpare()
@@ -238,47 +248,47 @@
                 : pacer.tryBegin(e.id, o.model(), spec.loadsPerSecond(), spec.loadsAtOnce(), now);
     }
 
-    private void take(SimulatedEngine e, TargetOrder order) {
-        if (e.dark) {
+    private void applyOrder(SimulatedEngine e, TargetOrder order) {
+        if (e.unreachable) {
             return;
         }
         if (order instanceof TargetOrder.Join j) {
-            join(e, j);
+            applyJoin(e, j);
         } else if (order instanceof TargetOrder.Open o
-                && e.mark != null
-                && e.mark.name().equals(o.group())) {
-            e.opensAt = e.opensAt == Long.MAX_VALUE ? now + (long) spec.formMillis() : e.opensAt;
+                && e.membership != null
+                && e.membership.name().equals(o.group())) {
+            e.opensAtMillis = e.opensAtMillis == Long.MAX_VALUE ? now + (long) spec.formMillis() : e.opensAtMillis;
         } else if (order instanceof TargetOrder.Close c && e.isHeadOf(c.group())) {
-            if (e.mark.state() == GroupState.OPEN) {
+            if (e.membership.state() == GroupState.OPEN) {
                 e.setState(GroupState.CLOSING);
             }
         } else if (order instanceof TargetOrder.Leave l
-                && e.mark != null
-                && e.mark.name().equals(l.group())) {
-            e.mark = null;
-            e.join = null;
-        } else if (order instanceof TargetOrder.Stage s && !s.model().equals(e.staged)) {
-            loads += now < site.leadMillis() ? 0 : 1;
-            store.begin(e, s.model(), loadMillis(s.model()));
+                && e.membership != null
+                && e.membership.name().equals(l.group())) {
+            e.membership = null;
+            e.joinOrder = null;
+        } else if (order instanceof TargetOrder.Stage s && !s.model().equals(e.stagedModel)) {
+            loadCount += now < scenario.warmUpMillis() ? 0 : 1;
+            store.startLoad(e, s.model(), loadMillis(s.model()));
         }
     }
 
-    private void join(SimulatedEngine e, TargetOrder.Join j) {
-        if (e.join != null && e.join.group().equals(j.group())) {
+    private void applyJoin(SimulatedEngine e, TargetOrder.Join j) {
+        if (e.joinOrder != null && e.joinOrder.group().equals(j.group())) {
             return;
         }
-        e.join = j;
-        e.mark = new GroupMark(j.group(), j.epoch(), j.members().indexOf(e.id), GroupState.JOINING);
-        e.opensAt = Long.MAX_VALUE;
-        if (j.model().equals(e.model)) {
-            e.joinedAt = now + QUICK_JOIN_MILLIS;
+        e.joinOrder = j;
+        e.membership = new GroupMark(j.group(), j.epoch(), j.members().indexOf(e.id), GroupState.JOINING);
+        e.opensAtMillis = Long.MAX_VALUE;
+        if (j.model().equals(e.loadedModel)) {
+            e.joinedAtMillis = now + LOADED_JOIN_MILLIS;
         } else {
-            e.joinedAt = now + (long) (spec.model(j.model()).warmSeconds() * 1_000);
+            e.joinedAtMillis = now + (long) (spec.model(j.model()).warmSeconds() * 1_000);
         }
     }
 
     private double loadMillis(String model) {
         EngineModel m = spec.model(model);
-        return m.loadSeconds() * 1_000 * (now < site.leadMillis() ? LEAD_PART : 1);
+        return m.loadSeconds() * 1_000 * (now < scenario.warmUpMillis() ? WARM_UP_LOAD_FACTOR : 1);
     }
 }
--- a/simulation/src/main/java/org/hallwall/simulation/UnavailableHeads.java
+++ b/simulation/src/main/java/org/hallwall/simulation/SimulatedHeads.java
@@ -28,82 +28,83 @@
 import org.hallwall.serving.permit.PermitLedger;
 import org.hallwall.serving.permit.RateLimit;
 
-/** Heads that are not available for a time, by what they answer, and what callers' entries know of it. */
-final class UnavailableHeads {
+/** Simulates the unavailability of group heads and the availability state that entries derive from their answers. */
+final class SimulatedHeads {
 
     private static final InstanceId ENTRY = new InstanceId("entry");
-    /** The part of streams that such a head turns away. */
-    private static final double TURNED_AWAY = 0.9;
+    /** Fraction of streams that a head rejects while it backs off. */
+    private static final double REJECTED_FRACTION = 0.9;
 
-    private final UnavailableTrouble trouble;
+    private final UnavailabilitySchedule schedule;
     private final UniformRandomProvider random;
     private final PermitLedger ledger;
     private final EntryPermits permits;
     private final TargetAvailability availability;
     private long now;
-    private long at;
+    private long elapsedMillis;
 
-    UnavailableHeads(UnavailableTrouble trouble, UniformRandomProvider random) {
-        this.trouble = trouble;
+    SimulatedHeads(UnavailabilitySchedule schedule, UniformRandomProvider random) {
+        this.schedule = schedule;
         this.random = random;
         this.ledger = new PermitLedger(() -> now, 0);
         this.permits = new EntryPermits(() -> now, random::nextDouble);
         this.availability = new TargetAvailability(() -> now, permits);
     }
 
-    /** Lets time pass; the second figure is the time since callers come, in milliseconds. */
-    void pass(long clock, long sinceCallers) {
+    /** Sets the clock and the time since the end of the warm-up, and renews permits that are due. */
+    void advanceTo(long clock, long sinceWarmUp) {
         now = clock;
-        at = sinceCallers;
+        elapsedMillis = sinceWarmUp;
         if (permits.dueMillis() == 0) {
             permits.take(ledger.take(ENTRY, permits.asks()), now);
         }
     }
 
-    /** Notes a stream that may go to one of some groups, so that permits are asked for. */
-    void arrived(List<GroupRun> groups) {
-        if (trouble.perSecond() > 0 && !groups.isEmpty()) {
+    /** Records permit demand for a stream that any of the given groups could serve. */
+    void recordDemand(List<SimulatedGroup> groups) {
+        if (schedule.rateLimitPerSecond() > 0 && !groups.isEmpty()) {
             permits.want(groups.get(random.nextInt(groups.size())).head());
         }
     }
 
-    /** Says whether a head may be sent a stream, by what it has answered so far. */
-    boolean wants(GroupRun group) {
+    /** Returns whether the entries consider the head of a group available. */
+    boolean isAvailable(SimulatedGroup group) {
         return availability.isAvailable(group.head());
     }
 
-    /** Sends a stream to a head and says whether it takes it. */
-    boolean takes(GroupRun group) {
-        if (trouble.perSecond() > 0) {
-            return takesWithinLimit(group.head());
+    /** Sends a stream to the head of a group and returns whether it accepts the stream. */
+    boolean trySend(SimulatedGroup group) {
+        if (schedule.rateLimitPerSecond() > 0) {
+            return trySendWithinLimit(group.head());
         }
         if (!isUnavailable(group.head())) {
             return true;
         }
-        if (trouble.draining()) {
+        if (schedule.draining()) {
             availability.take(group.head(), TargetNotice.draining());
             return true;
         }
-        if (random.nextDouble() >= TURNED_AWAY) {
+        if (random.nextDouble() >= REJECTED_FRACTION) {
             return true;
         }
-        availability.take(group.head(), TargetNotice.backoff(trouble.backoffMillis()));
+        availability.take(group.head(), TargetNotice.backoff(schedule.backoffMillis()));
         return false;
     }
 
-    private boolean takesWithinLimit(InstanceId head) {
+    private boolean trySendWithinLimit(InstanceId head) {
         if (!availability.tryRequest(head)) {
             return false;
         }
         boolean limited = isUnavailable(head);
-        RateLimit limit = new RateLimit(trouble.perSecond());
+        RateLimit limit = new RateLimit(schedule.rateLimitPerSecond());
         availability.takeAnswer(head, limited ? TargetNotice.limited(limit) : TargetNotice.NONE, now);
         return true;
     }
 
     private boolean isUnavailable(InstanceId head) {
-        boolean time = at >= trouble.atMillis() && at < trouble.atMillis() + trouble.forMillis();
-        // which ones are struck depends on the name alone, so that it does not draw from the day's chance
-        return time && Math.floorMod(head.value().hashCode(), 100) < trouble.part() * 100;
+        boolean inWindow = elapsedMillis >= schedule.startMillis()
+                && elapsedMillis < schedule.startMillis() + schedule.durationMillis();
+        // selected by a hash of the name, so that the random sequence of the run is unaffected
+        return inWindow && Math.floorMod(head.value().hashCode(), 100) < schedule.fraction() * 100;
     }
 }
--- a/simulation/src/main/java/org/hallwall/simulation/SimulatedStream.java
+++ b/simulation/src/main/java/org/hallwall/simulation/SimulatedStream.java
@@ -18,42 +18,43 @@
  */
 package org.hallwall.simulation;
 
-/** One stream of a caller. */
+/** A caller's response stream. */
 final class SimulatedStream {
 
-    final CallerKind kind;
-    final long firstTry;
-    final double answerTokens;
-    double promptLeft;
-    double written;
-    boolean again;
-    boolean first;
+    final RequestClass requestClass;
+    final long arrivalMillis;
+    final double outputTokens;
+    double promptTokensLeft;
+    double generatedTokens;
+    boolean retried;
+    boolean firstTokenSent;
     boolean late;
-    long progressAt;
+    /** Time of the last event or, while a retry is pending, of that retry. */
+    long lastOrNextEventMillis;
 
-    SimulatedStream(CallerKind kind, long firstTry, double promptTokens, double answerTokens) {
-        this.kind = kind;
-        this.firstTry = firstTry;
-        this.answerTokens = Math.max(1, answerTokens);
-        this.promptLeft = promptTokens;
+    SimulatedStream(RequestClass requestClass, long arrivalMillis, double promptTokens, double outputTokens) {
+        this.requestClass = requestClass;
+        this.arrivalMillis = arrivalMillis;
+        this.outputTokens = Math.max(1, outputTokens);
+        this.promptTokensLeft = promptTokens;
         this.promptTokens = promptTokens;
     }
 
     private final double promptTokens;
 
-    /** Another group reads again what was asked and what was written. */
-    void readAgain() {
-        promptLeft = promptTokens + written;
+    /** Requires prefill of the prompt and all generated tokens, as after a move to another group. */
+    void resetPrefill() {
+        promptTokensLeft = promptTokens + generatedTokens;
     }
 
-    /** Notes an event at a moment. */
-    void event(long now) {
-        if (!first) {
-            late |= now - firstTry > kind.objectiveMillis();
-            first = true;
+    /** Records an event and whether it misses the latency objective. */
+    void recordEvent(long now) {
+        if (!firstTokenSent) {
+            late |= now - arrivalMillis > requestClass.firstTokenObjectiveMillis();
+            firstTokenSent = true;
         } else {
-            late |= now - progressAt > kind.pauseMillis();
+            late |= now - lastOrNextEventMillis > requestClass.interTokenObjectiveMillis();
         }
-        progressAt = now;
+        lastOrNextEventMillis = now;
     }
 }
--- a/simulation/src/main/java/org/hallwall/simulation/EnginePace.java
+++ b/simulation/src/main/java/org/hallwall/simulation/SimulationResult.java
@@ -18,12 +18,16 @@
  */
 package org.hallwall.simulation;
 
+import java.util.Map;
+
 /**
- * How fast a group steps; a model's own pace multiplies all times.
+ * The outcome of a simulation run.
  *
- * @param stepMillis the time of a step, in milliseconds
- * @param sequenceMillis what each writing stream adds to it, in milliseconds
- * @param tokensReadPerMilli how many tokens of prompts are read in a millisecond
- * @param chunkTokens how many tokens of prompts are read in a step at most
+ * @param worth the earned worth as a fraction of the offered worth
+ * @param refusedFraction the fraction of streams that were refused after retries
+ * @param lateFraction the fraction of streams that missed a latency objective
+ * @param worthByClass the earned fraction of the offered worth by request class
+ * @param loads the number of weight loads after the warm-up
  */
-public record EnginePace(double stepMillis, double sequenceMillis, double tokensReadPerMilli, int chunkTokens) {}
+public record SimulationResult(
+        double worth, double refusedFraction, double lateFraction, Map<String, Double> worthByClass, int loads) {}
--- a/simulation/src/main/java/org/hallwall/simulation/SimulatedSite.java
+++ b/simulation/src/main/java/org/hallwall/simulation/SimulationScenario.java
@@ -25,23 +25,23 @@
 /**
  * A deployment and its load.
  *
- * @param failureDomains how many failure domains
- * @param fabricDomains how many fabric domains; they take the failure domains in turn
- * @param enginesPerDomain how many engines each fabric domain has
- * @param spec what is known of the engines
- * @param pace how fast they are
- * @param kinds what callers ask for
- * @param trouble what happens to engines
- * @param leadMillis how long the fleet has before callers come; loads begun in it take a tenth of their time
- * @param lengthMillis how long callers come
+ * @param failureDomains the number of failure domains
+ * @param fabricDomains the number of fabric domains, assigned to failure domains round-robin
+ * @param enginesPerDomain the number of engines in each fabric domain
+ * @param spec the engine specification
+ * @param timing the step timing of the engines
+ * @param requestClasses the offered load
+ * @param faults the injected faults
+ * @param warmUpMillis the time before the first request; weight loads started in it take a tenth of their duration
+ * @param durationMillis the time during which requests arrive
  */
-public record SimulatedSite(
+public record SimulationScenario(
         int failureDomains,
         int fabricDomains,
         int enginesPerDomain,
         EngineSpec spec,
-        EnginePace pace,
-        List<CallerKind> kinds,
-        Trouble trouble,
-        long leadMillis,
-        long lengthMillis) {}
+        EngineTiming timing,
+        List<RequestClass> requestClasses,
+        FaultSchedule faults,
+        long warmUpMillis,
+        long durationMillis) {}
--- a/simulation/src/main/java/org/hallwall/simulation/WeightStore.java
+++ b/simulation/src/main/java/org/hallwall/simulation/WeightStore.java
@@ -23,17 +23,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** The store that hosts load models from: more loads at once than it serves at full speed share its rate. */
+/** The weight store of a deployment. Loads beyond the concurrency limit share its throughput. */
 final class WeightStore {
 
-    private final int atOnce;
+    private final int maxConcurrentLoads;
     private final Map<SimulatedEngine, Load> loads = new LinkedHashMap<>();
 
-    WeightStore(int atOnce) {
-        this.atOnce = atOnce;
+    WeightStore(int maxConcurrentLoads) {
+        this.maxConcurrentLoads = maxConcurrentLoads;
     }
 
-    void begin(SimulatedEngine e, String model, double millis) {
+    void startLoad(SimulatedEngine e, String model, double millis) {
         loads.putIfAbsent(e, new Load(model, millis));
     }
 
@@ -41,14 +41,14 @@
         return loads.containsKey(e);
     }
 
-    /** Lets time pass and gives the hosts whose loads have ended. */
-    List<SimulatedEngine> pass(long millis) {
-        double each = millis * Math.min(1.0, (double) atOnce / Math.max(1, loads.size()));
+    /** Advances all loads and returns the engines whose load has completed. */
+    List<SimulatedEngine> advance(long millis) {
+        double progressMillis = millis * Math.min(1.0, (double) maxConcurrentLoads / Math.max(1, loads.size()));
         List<SimulatedEngine> ended = new ArrayList<>();
         loads.forEach((e, l) -> {
-            l.leftMillis -= each;
-            if (l.leftMillis <= 0) {
-                e.staged = l.model;
+            l.remainingMillis -= progressMillis;
+            if (l.remainingMillis <= 0) {
+                e.stagedModel = l.model;
                 ended.add(e);
             }
         });
@@ -56,18 +56,18 @@
         return ended;
     }
 
-    void forget(SimulatedEngine e) {
+    void cancelLoad(SimulatedEngine e) {
         loads.remove(e);
     }
 
     private static final class Load {
 
         private final String model;
-        private double leftMillis;
+        private double remainingMillis;
 
         Load(String model, double leftMillis) {
             this.model = model;
-            this.leftMillis = leftMillis;
+            this.remainingMillis = leftMillis;
         }
     }
 }
--- a/simulation/src/main/java/org/hallwall/simulation/package-info.java
+++ b/simulation/src/main/java/org/hallwall/simulation/package-info.java
@@ -17,8 +17,8 @@
  * under the License.
  */
 /**
- * A fleet of model engines and its callers on a virtual clock: engines that step in batches, groups, loads, losses, callers with
- * objectives and retries. The planners and the rule of admission are the real ones of the serving module, not copies. One seed
- * gives one result, so that two policies can be compared on the same days.
+ * Discrete-time simulation of a fleet of model engines and its callers: batched inference, groups, weight loads, engine loss,
+ * latency objectives and retries. It runs the production planners and admission rule of the serving module. Results are
+ * deterministic for a given seed, so that policies can be compared on identical load.
  */
 package org.hallwall.simulation;
--- a/simulation/src/test/java/org/hallwall/simulation/ExperimentMainTest.java
+++ b/simulation/src/test/java/org/hallwall/simulation/ExperimentMainTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** The program prints a line for each mechanism and refuses what it does not know. */
+/** Checks the result table and the rejection of invalid arguments. */
 class ExperimentMainTest {
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void everyMechanismHasALine() {
+    void tableListsEveryMechanism() {
         Assertions.assertEquals(ExitCode.SUCCESS, run("--seeds", "2", "--pattern", "FOUR_AND_TWO"));
         String text = out.toString(StandardCharsets.UTF_8);
         for (Mechanism m : Mechanism.values()) {
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void wrongUseIsTold() {
+    void invalidArgumentsAreReported() {
         Assertions.assertEquals(ExitCode.WRONG_USE, run("--pattern", "FOUR_AND_TWO", "--seeds", "many"));
         Assertions.assertFalse(err.toString(StandardCharsets.UTF_8).isEmpty());
     }
--- a/simulation/src/test/java/org/hallwall/simulation/LoadPatternTest.java
+++ b/simulation/src/test/java/org/hallwall/simulation/LoadPatternTest.java
@@ -27,68 +27,68 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The real planners carry the loads that bind them; the bounds lie below what 100 days earn in the mean. */
+/** Guards against regressions of the planners on the simulated load patterns. */
 class LoadPatternTest {
 
-    private static final int DAYS = 8;
+    private static final int RUNS = 8;
 
-    private static double worth(LoadPattern pattern, Mechanisms mechanisms) {
-        return LongStream.range(0, DAYS)
+    private static double meanWorth(LoadPattern pattern, Mechanisms mechanisms) {
+        return LongStream.range(0, RUNS)
                 .mapToDouble(seed ->
-                        SimulatedDay.play(pattern.site(), mechanisms, seed).worth())
+                        SimulationRun.run(pattern.scenario(), mechanisms, seed).worth())
                 .average()
                 .orElse(0);
     }
 
     @Test
-    void oneSeedGivesOneResult() {
-        SimulatedSite site = LoadPattern.FOUR_AND_TWO.site();
-        Assertions.assertEquals(SimulatedDay.play(site, Mechanisms.ALL, 7), SimulatedDay.play(site, Mechanisms.ALL, 7));
+    void sameSeedGivesSameResult() {
+        SimulationScenario scenario = LoadPattern.FOUR_AND_TWO.scenario();
+        Assertions.assertEquals(
+                SimulationRun.run(scenario, Mechanisms.ALL, 7), SimulationRun.run(scenario, Mechanisms.ALL, 7));
     }
 
-    /** The load: an engine of a group is lost every 2 or 4 s, a whole fabric domain is dark for 7 s, and both models are asked for. */
+    /** Group members are lost every 2 or 4 s and a whole fabric domain is unreachable for 7 s. */
     @ParameterizedTest
     @CsvSource({"FOUR_AND_TWO, 0.93", "FOUR_AND_THREE, 0.78"})
     void bothModelsAreServedThroughLosses(LoadPattern pattern, double least) {
-        double worth = worth(pattern, Mechanisms.ALL);
+        double worth = meanWorth(pattern, Mechanisms.ALL);
         Assertions.assertTrue(worth >= least, pattern + " earns " + worth);
     }
 
-    /** Half of the heads back off or name a rate limit for a while, or a quarter drains and goes on: the others carry on. */
+    /** The other heads take over while half of the heads back off or report a rate limit, or a quarter drains. */
     @ParameterizedTest
     @CsvSource({"HEADS_BACK_OFF", "HEADS_DRAIN", "HEADS_RATE_LIMITED"})
-    void whatUnavailableHeadsCostPassesWithThem(LoadPattern pattern) {
-        double with = worth(pattern, Mechanisms.ALL);
-        double without = worth(LoadPattern.FOUR_AND_TWO, Mechanisms.ALL);
-        Assertions.assertNotEquals(without, with, "the trouble changes nothing");
-        // a trouble of 8 s on half of the heads takes no more than half of what these seconds are worth
+    void lossFromUnavailableHeadsIsBounded(LoadPattern pattern) {
+        double with = meanWorth(pattern, Mechanisms.ALL);
+        double without = meanWorth(LoadPattern.FOUR_AND_TWO, Mechanisms.ALL);
+        Assertions.assertNotEquals(without, with, "the unavailable heads have no effect");
+        // 8 s with half of the heads unavailable cost at most half of the worth of these 8 s
         Assertions.assertTrue(with > without * (1 - 0.5 * 8 / 55), with + " against " + without);
     }
 
-    /** The same load without groups over several fabric domains earns less: the simulator can tell policies apart. */
+    /** Guards against a simulator that cannot distinguish policies: disabling groups across fabric domains must cost worth. */
     @Test
-    void withoutFarGroupsLessIsEarned() {
-        double all = worth(LoadPattern.FOUR_AND_THREE, Mechanisms.ALL);
-        double without = worth(LoadPattern.FOUR_AND_THREE, Mechanisms.without(Mechanism.FAR_GROUPS));
+    void disablingFarGroupsEarnsLess() {
+        double all = meanWorth(LoadPattern.FOUR_AND_THREE, Mechanisms.ALL);
+        double without = meanWorth(LoadPattern.FOUR_AND_THREE, Mechanisms.without(Mechanism.FAR_GROUPS));
         Assertions.assertTrue(without < all - 0.02, without + " against " + all);
     }
 
-    /** Without trouble nobody is refused. */
     @Test
-    void aCalmDayIsServedWhole() {
-        SimulatedSite s = LoadPattern.FOUR_AND_TWO.site();
-        SimulatedSite calm = new SimulatedSite(
+    void runWithoutFaultsRefusesNothing() {
+        SimulationScenario s = LoadPattern.FOUR_AND_TWO.scenario();
+        SimulationScenario withoutFaults = new SimulationScenario(
                 s.failureDomains(),
                 s.fabricDomains(),
                 s.enginesPerDomain(),
                 s.spec(),
-                s.pace(),
-                s.kinds(),
-                Trouble.NONE,
-                s.leadMillis(),
-                s.lengthMillis());
-        DayResult day = SimulatedDay.play(calm, Mechanisms.ALL, 1);
-        Assertions.assertEquals(0, day.refused());
-        Assertions.assertTrue(day.worth() > 0.97, day.toString());
+                s.timing(),
+                s.requestClasses(),
+                FaultSchedule.NONE,
+                s.warmUpMillis(),
+                s.durationMillis());
+        SimulationResult result = SimulationRun.run(withoutFaults, Mechanisms.ALL, 1);
+        Assertions.assertEquals(0, result.refusedFraction());
+        Assertions.assertTrue(result.worth() > 0.97, result.toString());
     }
 }
