--- a/program/src/main/java/org/hallwall/program/AdminServer.java
+++ b/program/src/main/java/org/hallwall/program/AdminServer.java
@@ -34,10 +34,10 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** The admin port: health, readiness, metrics and the dump of the process's state. */
+/** HTTP server of the admin port: health, readiness, metrics, state dump and resource usage. */
 public final class AdminServer implements AutoCloseable {
 
-    private static final String PLAIN = "text/plain; charset=utf-8";
+    private static final String TEXT_TYPE = "text/plain; charset=utf-8";
 
     private final DisposableServer server;
 
@@ -46,14 +46,14 @@
     }
 
     /**
-     * Opens the admin port.
+     * Binds the admin port.
      *
-     * @param address where to listen
-     * @param registry the metrics of the process
-     * @param ready whether the process takes work
-     * @param dump the state of the process
-     * @return the open port
-     * @throws ProgramException if the port cannot be opened
+     * @param address the address to listen on
+     * @param registry the metrics to expose
+     * @param ready whether the process accepts work
+     * @param dump supplies the state dump
+     * @return the running server
+     * @throws ProgramException if the port cannot be bound
      */
     public static AdminServer open(
             NetAddress address, PrometheusRegistry registry, BooleanSupplier ready, Supplier<Object> dump)
@@ -61,7 +61,7 @@
         HttpServer http = HttpServer.create()
                 .host(address.host())
                 .port(address.port())
-                .route(routes -> routes.get("/healthz", (req, res) -> HttpReplies.text(res, 200, PLAIN, "ok\n"))
+                .route(routes -> routes.get("/healthz", (req, res) -> HttpReplies.text(res, 200, TEXT_TYPE, "ok\n"))
                         .get("/readyz", (req, res) -> readiness(res, ready))
                         .get("/metrics", (req, res) -> metrics(res, registry))
                         .get("/debug/dump", (req, res) -> HttpReplies.pretty(res, dump.get()))
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Gives the port that is open.
+     * Returns the bound port.
      *
      * @return the port
      */
@@ -88,8 +88,8 @@
     }
 
     private static Publisher<Void> readiness(HttpServerResponse res, BooleanSupplier ready) {
-        boolean yes = ready.getAsBoolean();
-        return HttpReplies.text(res, yes ? 200 : 503, PLAIN, yes ? "ready\n" : "not ready\n");
+        boolean isReady = ready.getAsBoolean();
+        return HttpReplies.text(res, isReady ? 200 : 503, TEXT_TYPE, isReady ? "ready\n" : "not ready\n");
     }
 
     private static Publisher<Void> metrics(HttpServerResponse res, PrometheusRegistry registry) {
--- a/program/src/main/java/org/hallwall/program/CompactJsonFormatter.java
+++ b/program/src/main/java/org/hallwall/program/CompactJsonFormatter.java
@@ -28,8 +28,8 @@
 import org.jboss.logmanager.ExtFormatter;
 import org.jboss.logmanager.ExtLogRecord;
 
-/** Writes a log record as one short JSON object a line. */
-final class CompactFormatter extends ExtFormatter {
+/** Formats a log record as a short JSON object on one line. */
+final class CompactJsonFormatter extends ExtFormatter {
 
     @Override
     public String format(ExtLogRecord record) {
--- a/program/src/main/java/org/hallwall/program/Daemon.java
+++ b/program/src/main/java/org/hallwall/program/Daemon.java
@@ -20,10 +20,10 @@
 
 import java.io.Closeable;
 
-/** A started daemon. */
+/** A running daemon. */
 public interface Daemon extends Closeable {
 
-    /** Stops the daemon in an orderly way: takes nothing new, finishes what is in progress, then ends. */
+    /** Shuts down gracefully: accepts no new work, completes work in progress, then releases all resources. */
     @Override
     void close();
 }
--- a/program/src/main/java/org/hallwall/program/DaemonProgram.java
+++ b/program/src/main/java/org/hallwall/program/DaemonProgram.java
@@ -34,13 +34,13 @@
 import org.hallwall.core.settings.SettingsSchema;
 
 /**
- * The command line of a daemon: reads and checks the settings, starts it, and stops it on a signal.
+ * Command-line entry point of a daemon. Reads and validates the settings, starts the daemon and shuts it down on a signal.
  *
- * @param <S> the settings of the daemon
+ * @param <S> the type of the daemon's settings
  */
 public abstract class DaemonProgram<S extends DaemonSettings> {
 
-    /** The options of a daemon that have a fixed name. */
+    /** Names of the common command-line options. */
     private static final String SETTINGS = "settings";
 
     private static final String CHECK = "check";
@@ -56,9 +56,9 @@
      * Creates the program.
      *
      * @param name the name of the program
-     * @param purpose one sentence for the help text
-     * @param schema the schema of the settings
-     * @param type the type of the settings
+     * @param purpose a one-sentence description for the help text
+     * @param schema the JSON schema of the settings
+     * @param type the class that settings are mapped to
      */
     protected DaemonProgram(String name, String purpose, SettingsSchema schema, Class<S> type) {
         this.name = name;
@@ -70,14 +70,14 @@
     /**
      * Starts the daemon.
      *
-     * @param settings the checked settings
-     * @return the started daemon
+     * @param settings the validated settings
+     * @return the running daemon
      * @throws ProgramException if it cannot start
      */
     protected abstract Daemon start(S settings) throws ProgramException;
 
     /**
-     * Says where log lines go.
+     * Returns the destination of log lines.
      *
      * @return standard error by default
      */
@@ -86,29 +86,29 @@
     }
 
     /**
-     * Adds options of one program to the common ones.
+     * Adds program-specific options to the common ones.
      *
      * @param options the options to extend
      */
     protected void addOptions(Options options) {
-        // none by default
+        // no additional options by default
     }
 
     /**
-     * Does work that an extra option asks for instead of starting the daemon.
+     * Handles a program-specific option that replaces starting the daemon.
      *
      * @param line the parsed command line
-     * @param settings the checked settings
-     * @param out where to print
-     * @return true if the work was done and the program is to end
-     * @throws ProgramException if the work failed
+     * @param settings the validated settings
+     * @param out receives the output
+     * @return whether such an option was handled, so that the program exits
+     * @throws ProgramException if the option cannot be handled
      */
     protected boolean runInstead(CommandLine line, S settings, PrintStream out) throws ProgramException {
         return false;
     }
 
     /**
-     * Runs the program until it is told to stop.
+     * Runs the program until a shutdown signal.
      *
      * @param args the command line
      * @return the exit code
@@ -118,10 +118,10 @@
     }
 
     /**
-     * Runs the program with the given streams.
+     * Runs the program with the given output streams.
      *
-     * @param out where answers go
-     * @param err where faults go
+     * @param out receives regular output
+     * @param err receives error messages
      * @param args the command line
      * @return the exit code
      */
@@ -167,19 +167,19 @@
     private void serve(PrintStream out, S settings) throws ProgramException {
         ProgramLogs.configure(settings.logFormat(), settings.logLevel(), logTarget());
         CountDownLatch stopped = new CountDownLatch(1);
-        CountDownLatch asked = new CountDownLatch(1);
+        CountDownLatch stopRequested = new CountDownLatch(1);
         Daemon daemon = start(settings);
-        Thread hook = new Thread(() -> awaitStop(asked, stopped), "shutdown");
+        Thread hook = new Thread(() -> awaitStop(stopRequested, stopped), "shutdown");
         Runtime.getRuntime().addShutdownHook(hook);
         out.println(name + " is ready");
         out.flush();
-        awaitQuietly(asked);
+        awaitQuietly(stopRequested);
         daemon.close();
         stopped.countDown();
     }
 
-    private static void awaitStop(CountDownLatch asked, CountDownLatch stopped) {
-        asked.countDown();
+    private static void awaitStop(CountDownLatch stopRequested, CountDownLatch stopped) {
+        stopRequested.countDown();
         awaitQuietly(stopped);
     }
 
--- a/program/src/main/java/org/hallwall/program/DaemonSettings.java
+++ b/program/src/main/java/org/hallwall/program/DaemonSettings.java
@@ -18,20 +18,20 @@
  */
 package org.hallwall.program;
 
-/** The settings that every daemon has. */
+/** Settings common to all daemons. */
 public interface DaemonSettings {
 
     /**
-     * Gives the form of the log.
+     * Returns the log format.
      *
-     * @return the form
+     * @return the log format
      */
     LogFormat logFormat();
 
     /**
-     * Gives the least level that is logged.
+     * Returns the minimum log level.
      *
-     * @return the level's name
+     * @return the name of the level
      */
     String logLevel();
 }
--- a/program/src/main/java/org/hallwall/program/ExitCode.java
+++ b/program/src/main/java/org/hallwall/program/ExitCode.java
@@ -18,13 +18,13 @@
  */
 package org.hallwall.program;
 
-/** The exit codes of all programs. */
+/** Process exit codes. */
 public enum ExitCode {
-    /** The program did what was asked. */
+    /** The program completed successfully. */
     SUCCESS(0),
     /** The program failed. */
     FAILURE(1),
-    /** The command line was wrong. */
+    /** The command line is invalid. */
     WRONG_USE(2);
 
     private final int code;
@@ -34,9 +34,9 @@
     }
 
     /**
-     * Gives the number passed to the system.
+     * Returns the numeric exit status.
      *
-     * @return the number
+     * @return the exit status
      */
     public int code() {
         return code;
--- a/program/src/main/java/org/hallwall/program/HttpPorts.java
+++ b/program/src/main/java/org/hallwall/program/HttpPorts.java
@@ -23,18 +23,18 @@
 import reactor.netty.DisposableServer;
 import reactor.netty.http.server.HttpServer;
 
-/** Opens HTTP ports. */
+/** Binds HTTP servers. */
 public final class HttpPorts {
 
     private HttpPorts() {}
 
     /**
-     * Binds a server.
+     * Binds a server and reports failures as a {@link ProgramException}.
      *
      * @param http the server
-     * @param address where it listens; used in the message only
+     * @param address the listen address, for the error message
      * @return the bound server
-     * @throws ProgramException if the port cannot be opened
+     * @throws ProgramException if the port cannot be bound
      */
     public static DisposableServer bind(HttpServer http, NetAddress address) throws ProgramException {
         try {
--- a/program/src/main/java/org/hallwall/program/HttpQuery.java
+++ b/program/src/main/java/org/hallwall/program/HttpQuery.java
@@ -25,7 +25,7 @@
 import org.hallwall.core.verdict.RefusalException;
 import reactor.netty.http.server.HttpServerRequest;
 
-/** Reads the query part of a request's address. */
+/** Reads parameters from the query string of a request. */
 public final class HttpQuery {
 
     private final QueryStringDecoder decoder;
@@ -35,27 +35,27 @@
     }
 
     /**
-     * Takes the query of a request.
+     * Parses the query string of a request.
      *
      * @param req the request
-     * @return its query
+     * @return the parsed query
      */
     public static HttpQuery of(HttpServerRequest req) {
         return new HttpQuery(new QueryStringDecoder(req.uri()));
     }
 
     /**
-     * Reads a number.
+     * Returns a parameter as a non-negative integer.
      *
      * @param name the name of the parameter
-     * @param otherwise the value if it is missing
-     * @return the number
-     * @throws RefusalException if the value is not a number that is zero or more
+     * @param defaultValue the value if the parameter is missing
+     * @return the value
+     * @throws RefusalException if the value is not a non-negative integer
      */
-    public long number(String name, long otherwise) throws RefusalException {
+    public long number(String name, long defaultValue) throws RefusalException {
         List<String> values = decoder.parameters().get(name);
         if (values == null) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             long value = Long.parseLong(values.get(0));
@@ -63,7 +63,7 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // refused below
+            // rejected below
         }
         throw new RefusalException(ProblemType.BAD_REQUEST, name + " must be a number that is zero or more");
     }
--- a/program/src/main/java/org/hallwall/program/HttpReplies.java
+++ b/program/src/main/java/org/hallwall/program/HttpReplies.java
@@ -29,7 +29,7 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Writes the replies that all HTTP ports share. */
+/** Writes JSON, text and problem responses. */
 public final class HttpReplies {
 
     private static final String JSON_TYPE = "application/json";
@@ -39,60 +39,60 @@
     private HttpReplies() {}
 
     /**
-     * Replies with a JSON body.
+     * Sends a JSON body.
      *
-     * @param res the reply
+     * @param res the response
      * @param status the HTTP status
      * @param body the value to write
-     * @return the end of the reply
+     * @return completes when the response has been sent
      */
     public static Publisher<Void> json(HttpServerResponse res, int status, Object body) {
         return write(res, status, JSON_TYPE, text(Json.MAPPER, body));
     }
 
     /**
-     * Replies with an indented JSON body for people.
+     * Sends an indented JSON body with status 200.
      *
-     * @param res the reply
+     * @param res the response
      * @param body the value to write
-     * @return the end of the reply
+     * @return completes when the response has been sent
      */
     public static Publisher<Void> pretty(HttpServerResponse res, Object body) {
         return write(res, 200, JSON_TYPE, text(Json.PRETTY, body) + "\n");
     }
 
     /**
-     * Replies with a plain text body.
+     * Sends a text body.
      *
-     * @param res the reply
+     * @param res the response
      * @param status the HTTP status
      * @param type the content type
      * @param body the text
-     * @return the end of the reply
+     * @return completes when the response has been sent
      */
     public static Publisher<Void> text(HttpServerResponse res, int status, String type, String body) {
         return write(res, status, type, body);
     }
 
     /**
-     * Replies with a problem that carries a verdict.
+     * Sends a refusal as a problem document, with a {@code Retry-After} header if it has a delay.
      *
-     * @param res the reply
-     * @param refusal the refusal
+     * @param res the response
+     * @param refusal the refusal to report
      * @param requestId the id of the request; may be null
-     * @return the end of the reply
+     * @return completes when the response has been sent
      */
     public static Publisher<Void> problem(HttpServerResponse res, RefusalException refusal, String requestId) {
-        Duration wait = refusal.retryAfter();
-        if (!wait.isZero()) {
-            res.header("Retry-After", Long.toString(wholeSeconds(wait)));
+        Duration retryAfter = refusal.retryAfter();
+        if (!retryAfter.isZero()) {
+            res.header("Retry-After", Long.toString(roundUpToSeconds(retryAfter)));
         }
         int status = refusal.type().status();
         return write(res, status, Problem.MEDIA_TYPE, text(Json.MAPPER, Problem.of(refusal, requestId)));
     }
 
-    private static long wholeSeconds(Duration wait) {
-        return Math.max(1, (wait.toMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND);
+    private static long roundUpToSeconds(Duration retryAfter) {
+        return Math.max(1, (retryAfter.toMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND);
     }
 
     private static Publisher<Void> write(HttpServerResponse res, int status, String type, String body) {
--- a/program/src/main/java/org/hallwall/program/LogFormat.java
+++ b/program/src/main/java/org/hallwall/program/LogFormat.java
@@ -24,9 +24,9 @@
 import org.jboss.logmanager.formatters.JsonFormatter;
 import org.jboss.logmanager.formatters.PatternFormatter;
 
-/** The form of log lines. */
+/** Format of log lines. */
 public enum LogFormat {
-    /** One line of text for people. */
+    /** Human-readable text. */
     @JsonProperty("text")
     TEXT {
         @Override
@@ -34,7 +34,7 @@
             return new PatternFormatter("%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX} %-5p %s%e%n");
         }
     },
-    /** One JSON object a line for programs. */
+    /** One JSON object per line, with all fields. */
     @JsonProperty("json")
     JSON {
         @Override
@@ -42,12 +42,12 @@
             return new JsonFormatter();
         }
     },
-    /** One short JSON object a line: time, level, part and message; for processes whose logs cost processor time. */
+    /** One JSON object per line with time, level, part and message only, to reduce the cost of logging. */
     @JsonProperty("compact")
     COMPACT {
         @Override
         Formatter formatter() {
-            return new CompactFormatter();
+            return new CompactJsonFormatter();
         }
     };
 
--- a/program/src/main/java/org/hallwall/program/LogTarget.java
+++ b/program/src/main/java/org/hallwall/program/LogTarget.java
@@ -20,11 +20,11 @@
 
 import org.jboss.logmanager.handlers.ConsoleHandler;
 
-/** Where log lines go. */
+/** Destination of log lines. */
 public enum LogTarget {
-    /** Standard error, so that a program's own output stays apart. */
+    /** Standard error, which keeps log lines separate from the program's output. */
     STANDARD_ERROR(ConsoleHandler.Target.SYSTEM_ERR),
-    /** Standard output, where platforms collect logs. */
+    /** Standard output, from which container platforms collect logs. */
     STANDARD_OUTPUT(ConsoleHandler.Target.SYSTEM_OUT);
 
     private final ConsoleHandler.Target console;
--- a/program/src/main/java/org/hallwall/program/ProcessUsage.java
+++ b/program/src/main/java/org/hallwall/program/ProcessUsage.java
@@ -27,12 +27,12 @@
 import org.jboss.logging.Logger;
 
 /**
- * What the process uses.
+ * Resource usage of the current process.
  *
- * @param cpuMillis processor time since the start
- * @param heapBytes heap in use; after a collection if one was asked for
- * @param residentBytes resident memory; zero where the system does not tell
- * @param threads live threads
+ * @param cpuMillis CPU time since the start, in milliseconds
+ * @param heapBytes used heap, after a garbage collection if requested
+ * @param residentBytes resident set size; zero if the system does not provide it
+ * @param threads the number of live threads
  */
 public record ProcessUsage(long cpuMillis, long heapBytes, long residentBytes, int threads) {
 
@@ -41,10 +41,10 @@
     private static final long BYTES_PER_KILOBYTE = 1_024;
 
     /**
-     * Measures the process.
+     * Measures the current usage.
      *
-     * @param collect whether to collect garbage first
-     * @return what it uses
+     * @param collect whether to run a garbage collection first
+     * @return the usage
      */
     public static ProcessUsage measure(boolean collect) {
         if (collect) {
@@ -58,10 +58,10 @@
                 / NANOS_PER_MILLI;
         long heap = ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
         int threads = ManagementFactory.getThreadMXBean().getThreadCount();
-        return new ProcessUsage(cpu, heap, resident(), threads);
+        return new ProcessUsage(cpu, heap, readResidentBytes(), threads);
     }
 
-    private static long resident() {
+    private static long readResidentBytes() {
         try {
             for (String line : Files.readAllLines(Path.of("/proc/self/status"))) {
                 if (line.startsWith("VmRSS:")) {
@@ -69,7 +69,7 @@
                 }
             }
         } catch (IOException e) {
-            LOG.debugf("program: resident memory is unknown, %s", e.getMessage());
+            LOG.debugf("program: cannot read the resident set size, %s", e.getMessage());
         }
         return 0;
     }
--- a/program/src/main/java/org/hallwall/program/ProgramException.java
+++ b/program/src/main/java/org/hallwall/program/ProgramException.java
@@ -18,7 +18,7 @@
  */
 package org.hallwall.program;
 
-/** A program cannot go on; the message says why in one sentence. */
+/** Signals that a program cannot continue; the message is printed to the operator. */
 public class ProgramException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -28,8 +28,8 @@
     /**
      * Creates the exception.
      *
-     * @param exitCode the exit code to end with
-     * @param message one sentence for the operator
+     * @param exitCode the exit code of the program
+     * @param message the reason, as one sentence
      */
     public ProgramException(ExitCode exitCode, String message) {
         super(message);
@@ -39,8 +39,8 @@
     /**
      * Creates the exception with its cause.
      *
-     * @param exitCode the exit code to end with
-     * @param message one sentence for the operator
+     * @param exitCode the exit code of the program
+     * @param message the reason, as one sentence
      * @param cause the cause
      */
     public ProgramException(ExitCode exitCode, String message, Throwable cause) {
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Gives the exit code to end with.
+     * Returns the exit code of the program.
      *
      * @return the exit code
      */
--- a/program/src/main/java/org/hallwall/program/ProgramLogs.java
+++ b/program/src/main/java/org/hallwall/program/ProgramLogs.java
@@ -25,19 +25,19 @@
 
 import org.jboss.logmanager.handlers.ConsoleHandler;
 
-/** Sets up the log of a program: one handler. */
+/** Configures the logging of a program. */
 public final class ProgramLogs {
 
-    private static final String OWN = "org.hallwall";
+    private static final String PROJECT_LOGGER = "org.hallwall";
 
     private ProgramLogs() {}
 
     /**
-     * Replaces the handlers of the root logger by one.
+     * Replaces the handlers of the root logger by a single console handler.
      *
-     * @param format the form of the lines
-     * @param level the least level that the project's own code logs
-     * @param target where the lines go
+     * @param format the format of log lines
+     * @param level the minimum level of loggers below {@code org.hallwall}
+     * @param target the destination of log lines
      */
     public static void configure(LogFormat format, String level, LogTarget target) {
         Logger root = LogManager.getLogManager().getLogger("");
@@ -48,6 +48,6 @@
         handler.setLevel(Level.ALL);
         root.addHandler(handler);
         root.setLevel(Level.WARNING);
-        Logger.getLogger(OWN).setLevel(Level.parse(level));
+        Logger.getLogger(PROJECT_LOGGER).setLevel(Level.parse(level));
     }
 }
--- a/program/src/main/java/org/hallwall/program/ProgramVersion.java
+++ b/program/src/main/java/org/hallwall/program/ProgramVersion.java
@@ -18,20 +18,20 @@
  */
 package org.hallwall.program;
 
-/** The version of this build. */
+/** Version of the running build. */
 public final class ProgramVersion {
 
-    private static final String UNPACKAGED = "0.1.0-SNAPSHOT";
+    private static final String DEVELOPMENT_VERSION = "0.1.0-SNAPSHOT";
 
     private ProgramVersion() {}
 
     /**
-     * Reads the version from the manifest.
+     * Returns the version from the JAR manifest, or the development version if the classes are not packaged.
      *
      * @return the version
      */
     public static String text() {
         String version = ProgramVersion.class.getPackage().getImplementationVersion();
-        return version == null ? UNPACKAGED : version;
+        return version == null ? DEVELOPMENT_VERSION : version;
     }
 }
--- a/program/src/main/java/org/hallwall/program/package-info.java
+++ b/program/src/main/java/org/hallwall/program/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** What all programs share: command line, logs, metrics, the admin port. */
+/** Common infrastructure of all programs: command line, logging, HTTP utilities and the admin port. */
 package org.hallwall.program;
--- a/program/src/test/java/org/hallwall/program/LogFormatTest.java
+++ b/program/src/test/java/org/hallwall/program/LogFormatTest.java
@@ -33,8 +33,8 @@
     private static final String MESSAGE = "entry: \"quoted\" and\nbroken";
 
     @Test
-    void jsonIsOneObjectALine() throws Exception {
-        String line = LogFormat.JSON.formatter().format(entry());
+    void jsonWritesOneObjectPerLine() throws Exception {
+        String line = LogFormat.JSON.formatter().format(logRecord());
         assertEquals(1, line.strip().lines().count());
         JsonNode node = Json.MAPPER.readTree(line);
         assertEquals(MESSAGE, node.path("message").asText());
@@ -42,11 +42,11 @@
     }
 
     @Test
-    void textEndsInTheMessage() {
-        assertTrue(LogFormat.TEXT.formatter().format(entry()).endsWith("INFO  " + MESSAGE + "\n"));
+    void textEndsWithMessage() {
+        assertTrue(LogFormat.TEXT.formatter().format(logRecord()).endsWith("INFO  " + MESSAGE + "\n"));
     }
 
-    private static ExtLogRecord entry() {
+    private static ExtLogRecord logRecord() {
         return new ExtLogRecord(Level.INFO, MESSAGE, LogFormatTest.class.getName());
     }
 }
