--- a/fakes/src/main/java/org/hallwall/fakes/FakeAccount.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeAccount.java
@@ -26,18 +26,18 @@
 import org.hallwall.core.id.GroupId;
 import org.hallwall.engine.RunFrame;
 
-/** What a stand-in target did, so that tests judge by the target's own record. Safe for use by several threads. */
+/** Records the runs, group changes and calls of a fake target, for verification by tests. Thread-safe. */
 public final class FakeAccount {
 
     private final List<RunRecord> runs = new ArrayList<>();
     private final List<GroupRecord> groups = new ArrayList<>();
     private final List<CallRecord> calls = new ArrayList<>();
 
-    synchronized void runStarted(AttemptId attempt, String promptHash, GroupId group, long at) {
+    synchronized void recordRunStart(AttemptId attempt, String promptHash, GroupId group, long at) {
         runs.add(new RunRecord(attempt, promptHash, group, at, 0, null));
     }
 
-    synchronized void runEnded(AttemptId attempt, int tokens, RunFrame.End end) {
+    synchronized void recordRunEnd(AttemptId attempt, int tokens, RunFrame.End end) {
         for (int i = runs.size() - 1; i >= 0; i--) {
             RunRecord r = runs.get(i);
             if (r.attempt().equals(attempt)) {
@@ -47,51 +47,51 @@
         }
     }
 
-    synchronized void groupChanged(GroupId group, FencingNumber fencing, long at) {
+    synchronized void recordGroupChange(GroupId group, FencingNumber fencing, long at) {
         groups.add(new GroupRecord(group, fencing, at));
     }
 
-    synchronized void called(String method, String path, String bodyHash, long at) {
+    synchronized void recordCall(String method, String path, String bodyHash, long at) {
         calls.add(new CallRecord(method, path, bodyHash, at));
     }
 
     /**
-     * Copies the account.
+     * Returns an immutable snapshot of the records.
      *
-     * @return the account so far
+     * @return the snapshot
      */
-    public synchronized Copy copy() {
+    public synchronized Copy snapshot() {
         return new Copy(List.copyOf(runs), List.copyOf(groups), List.copyOf(calls));
     }
 
     /**
-     * A copy of an account.
+     * An immutable snapshot of the records.
      *
-     * @param runs every run that was executed, in order of its start
-     * @param groups every change of group, in order
-     * @param calls every call of the plain service, in order
+     * @param runs all runs, in order of their start
+     * @param groups all group changes, in order
+     * @param calls all calls of the plain service, in order
      */
     public record Copy(List<RunRecord> runs, List<GroupRecord> groups, List<CallRecord> calls) {}
 
     /**
-     * A run that was executed.
+     * A run.
      *
-     * @param attempt the attempt
-     * @param promptHash the hash of its prompt
-     * @param group the group that the target was in
-     * @param at when it began, in milliseconds since 1970
-     * @param tokens how many tokens were generated
-     * @param end how it ended; null while it runs
+     * @param attempt the id of the attempt
+     * @param promptHash the hash of the prompt
+     * @param group the group of the target at that time
+     * @param at the start time, in milliseconds since the epoch
+     * @param tokens the number of generated tokens
+     * @param end the reason for the end; null while the run is in progress
      */
     public record RunRecord(
             AttemptId attempt, String promptHash, GroupId group, long at, int tokens, RunFrame.End end) {}
 
     /**
-     * A change of group.
+     * A group change.
      *
-     * @param group the group from then on; null for none
+     * @param group the new group; null for none
      * @param fencing the fencing number of the order
-     * @param at when, in milliseconds since 1970
+     * @param at the time, in milliseconds since the epoch
      */
     public record GroupRecord(GroupId group, FencingNumber fencing, long at) {}
 
@@ -101,7 +101,7 @@
      * @param method the HTTP method
      * @param path the path
      * @param bodyHash the hash of the body
-     * @param at when, in milliseconds since 1970
+     * @param at the time, in milliseconds since the epoch
      */
     public record CallRecord(String method, String path, String bodyHash, long at) {}
 }
--- a/fakes/src/main/java/org/hallwall/fakes/FakeAnswer.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeAnswer.java
@@ -21,13 +21,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.zip.CRC32C;
 
-/** The answers of stand-in engines: a function of the prompt, so that anyone can check them. */
+/** Generates the responses of fake engines deterministically from the prompt, so that callers can verify them. */
 public final class FakeAnswer {
 
     private FakeAnswer() {}
 
     /**
-     * Hashes a prompt.
+     * Returns the hash of a prompt.
      *
      * @param prompt the prompt
      * @return eight hexadecimal digits
@@ -39,22 +39,22 @@
     }
 
     /**
-     * Gives one token of an answer.
+     * Returns one token of a response.
      *
      * @param promptHash the hash of the prompt
-     * @param n the number of the token, from 0
-     * @return its text
+     * @param n the zero-based index of the token
+     * @return the text
      */
     public static String token(String promptHash, int n) {
         return n == 0 ? "answer " + promptHash : " t" + n;
     }
 
     /**
-     * Gives a whole answer.
+     * Returns the full text of a response.
      *
      * @param prompt the prompt
-     * @param tokens how many tokens it has
-     * @return its text
+     * @param tokens the number of tokens
+     * @return the text
      */
     public static String whole(String prompt, int tokens) {
         String hash = hash(prompt);
--- a/fakes/src/main/java/org/hallwall/fakes/FakeRuns.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeBatchScheduler.java
@@ -32,74 +32,75 @@
 import org.hallwall.engine.RunFrame;
 import org.hallwall.engine.TargetLoad;
 
-/** The runs of one stand-in engine: continuous batching with a bound on runs at once. */
-final class FakeRuns {
+/** Schedules the runs of a fake engine: continuous batching with a bounded number of concurrent runs. */
+final class FakeBatchScheduler {
 
-    private static final int CHARS_A_TOKEN = 4;
+    private static final int CHARS_PER_TOKEN = 4;
     private static final double MILLIS_PER_SECOND = 1_000;
-    private static final int KEPT_RUNS = 2_000;
+    private static final int MAX_RETAINED_RUNS = 2_000;
 
     private final FakeTargetSettings settings;
     private final FakeAccount account;
     private final FakePrefixCache cache;
-    private final Map<AttemptId, FakeRun> known = new LinkedHashMap<>();
-    private final Set<AttemptId> refused = new HashSet<>();
+    private final Map<AttemptId, FakeRun> runsByAttempt = new LinkedHashMap<>();
+    private final Set<AttemptId> cancelledAttempts = new HashSet<>();
     private final Deque<FakeRun> queue = new ArrayDeque<>();
     private final List<FakeRun> running = new ArrayList<>();
 
-    FakeRuns(FakeTargetSettings settings, FakeAccount account) {
+    FakeBatchScheduler(FakeTargetSettings settings, FakeAccount account) {
         this.settings = settings;
         this.account = account;
         this.cache = new FakePrefixCache(settings.cacheBlocks());
     }
 
-    /** Takes a run; null if the attempt was cancelled before or is known already. */
+    /** Enqueues a run; returns null if the attempt is a duplicate or has already been cancelled. */
     synchronized FakeRun add(EngineRun request) {
-        if (refused.contains(request.attempt()) || known.containsKey(request.attempt())) {
+        if (cancelledAttempts.contains(request.attempt()) || runsByAttempt.containsKey(request.attempt())) {
             return null;
         }
-        int promptTokens = Math.max(1, request.prompt().length() / CHARS_A_TOKEN);
-        FakeRun run = new FakeRun(request, promptTokens, Math.min(cache.use(request.prompt()), promptTokens));
-        known.put(request.attempt(), run);
-        if (known.size() > KEPT_RUNS) {
-            known.remove(known.keySet().iterator().next());
+        int promptTokens = Math.max(1, request.prompt().length() / CHARS_PER_TOKEN);
+        FakeRun run =
+                new FakeRun(request, promptTokens, Math.min(cache.lookupAndInsert(request.prompt()), promptTokens));
+        runsByAttempt.put(request.attempt(), run);
+        if (runsByAttempt.size() > MAX_RETAINED_RUNS) {
+            runsByAttempt.remove(runsByAttempt.keySet().iterator().next());
         }
-        account.runStarted(request.attempt(), run.promptHash(), request.group(), System.currentTimeMillis());
+        account.recordRunStart(request.attempt(), run.promptHash(), request.group(), System.currentTimeMillis());
         queue.add(run);
         return run;
     }
 
     synchronized FakeRun get(AttemptId attempt) {
-        return known.get(attempt);
+        return runsByAttempt.get(attempt);
     }
 
-    /** Cancels a run or makes sure that it never starts; returns whether it had started. */
+    /** Cancels a run, or prevents its start if it has not arrived yet; returns whether the run was known. */
     synchronized boolean cancel(AttemptId attempt) {
-        FakeRun run = known.get(attempt);
+        FakeRun run = runsByAttempt.get(attempt);
         if (run == null) {
-            refused.add(attempt);
+            cancelledAttempts.add(attempt);
             return false;
         }
         run.finish(RunFrame.End.CANCELLED);
         return true;
     }
 
-    /** Lets time pass; returns true if a fault switch says that the target dies now. */
+    /** Advances all runs to the given time; returns whether the die-after-token fault was triggered. */
     synchronized boolean step(double now, FakeFaults faults) {
         admit(now);
         double millisPerToken = MILLIS_PER_SECOND / settings.tokensPerSecond() * faults.slowFactor();
-        boolean dies = false;
+        boolean dieTriggered = false;
         for (FakeRun run : running) {
-            int before = run.tokens();
+            int tokensBefore = run.generatedTokens();
             run.generate(now, millisPerToken);
-            dies |= crosses(before, run.tokens(), faults.dieAfterToken());
+            dieTriggered |= crosses(tokensBefore, run.generatedTokens(), faults.dieAfterToken());
             run.flush(faults);
-            if (crosses(before, run.tokens(), faults.cutAfterToken())) {
-                run.cutConnection();
+            if (crosses(tokensBefore, run.generatedTokens(), faults.cutAfterToken())) {
+                run.dropConnection();
             }
         }
-        running.removeIf(this::settleIfEnded);
-        return dies;
+        running.removeIf(this::recordIfEnded);
+        return dieTriggered;
     }
 
     synchronized void failAll() {
@@ -107,8 +108,8 @@
         running.forEach(r -> r.finish(RunFrame.End.ERROR));
     }
 
-    synchronized void cutAll() {
-        known.values().forEach(FakeRun::cutConnection);
+    synchronized void dropAll() {
+        runsByAttempt.values().forEach(FakeRun::dropConnection);
         queue.clear();
         running.clear();
     }
@@ -120,21 +121,21 @@
     private void admit(double now) {
         while (!queue.isEmpty() && running.size() < settings.slots()) {
             FakeRun run = queue.poll();
-            int fresh = Math.max(1, run.request().prompt().length() / CHARS_A_TOKEN) - run.cachedTokens();
-            run.startAt(now + fresh * MILLIS_PER_SECOND / settings.prefillTokensPerSecond());
+            int uncachedTokens = Math.max(1, run.request().prompt().length() / CHARS_PER_TOKEN) - run.cachedTokens();
+            run.scheduleFirstToken(now + uncachedTokens * MILLIS_PER_SECOND / settings.prefillTokensPerSecond());
             running.add(run);
         }
     }
 
-    private boolean settleIfEnded(FakeRun run) {
+    private boolean recordIfEnded(FakeRun run) {
         if (run.end() == null) {
             return false;
         }
-        account.runEnded(run.request().attempt(), run.tokens(), run.end());
+        account.recordRunEnd(run.request().attempt(), run.generatedTokens(), run.end());
         return true;
     }
 
-    private static boolean crosses(int before, int after, int at) {
-        return at >= 0 && before <= at && after > at;
+    private static boolean crosses(int tokensBefore, int after, int at) {
+        return at >= 0 && tokensBefore <= at && after > at;
     }
 }
--- a/fakes/src/main/java/org/hallwall/fakes/FakeEngineDaemon.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeEngineDaemon.java
@@ -44,46 +44,46 @@
 import reactor.netty.http.client.HttpClient;
 import reactor.netty.resources.ConnectionProvider;
 
-/** A running stand-in program with its targets. */
+/** Runs the fake targets of one process: servers, generation, announcements and membership probes. */
 public final class FakeEngineDaemon implements Daemon {
 
     private static final Logger LOG = Logger.getLogger(FakeEngineDaemon.class);
-    private static final int RING = 64;
-    private static final long STEP_MILLIS = 2;
-    private static final long PROBE_MILLIS = 200;
-    private static final Duration TIMEOUT = Duration.ofMillis(400);
+    private static final int QUEUE_CAPACITY = 64;
+    private static final long STEP_INTERVAL_MILLIS = 2;
+    private static final long PROBE_INTERVAL_MILLIS = 200;
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(400);
     private static final double NANOS_PER_MILLI = 1e6;
 
     private final FakeEngineSettings settings;
     private final List<FakeTarget> targets = new ArrayList<>();
     private final List<FakeTargetServer> servers = new ArrayList<>();
     private final HttpClient http;
-    private final DutyThread steps;
+    private final DutyThread stepper;
     private final DutyThread announcer;
     private final DutyThread prober;
     private AdminServer admin;
-    private int entryAt;
+    private int entryIndex;
 
     private FakeEngineDaemon(FakeEngineSettings settings) {
         this.settings = settings;
-        this.http = HttpClient.create(ConnectionProvider.create("fake", 2_000)).responseTimeout(TIMEOUT);
-        FakeWeights weights = new FakeWeights(settings.weightLoadsAtOnce());
+        this.http = HttpClient.create(ConnectionProvider.create("fake", 2_000)).responseTimeout(RESPONSE_TIMEOUT);
+        FakeWeightStore weights = new FakeWeightStore(settings.weightLoadsAtOnce());
         for (FakeTargetSettings t : settings.targets()) {
             FakeTarget target = new FakeTarget(t, weights);
             targets.add(target);
             servers.add(new FakeTargetServer(target));
         }
-        steps = new DutyThread("engine", RING, STEP_MILLIS, this::step);
-        announcer = new DutyThread("announcer", RING, settings.announceMillis(), this::announce);
-        prober = new DutyThread("members", RING, PROBE_MILLIS, this::probeMembers);
+        stepper = new DutyThread("engine", QUEUE_CAPACITY, STEP_INTERVAL_MILLIS, this::step);
+        announcer = new DutyThread("announcer", QUEUE_CAPACITY, settings.announceMillis(), this::announce);
+        prober = new DutyThread("members", QUEUE_CAPACITY, PROBE_INTERVAL_MILLIS, this::probeMembers);
     }
 
     /**
-     * Starts the targets.
+     * Starts the fake targets.
      *
      * @param settings the settings
-     * @return the running program
-     * @throws ProgramException if a port cannot be opened
+     * @return the running daemon
+     * @throws ProgramException if a port cannot be bound
      */
     public static FakeEngineDaemon start(FakeEngineSettings settings) throws ProgramException {
         FakeEngineDaemon daemon = new FakeEngineDaemon(settings);
@@ -91,16 +91,16 @@
             s.open();
         }
         daemon.admin = AdminServer.open(settings.admin(), new PrometheusRegistry(), () -> true, daemon::dump);
-        daemon.steps.start();
+        daemon.stepper.start();
         daemon.announcer.start();
         daemon.prober.start();
         return daemon;
     }
 
     /**
-     * Gives the ports of the targets.
+     * Returns the bound ports of the targets.
      *
-     * @return the port of each target
+     * @return the ports by instance
      */
     public Map<InstanceId, Integer> ports() {
         Map<InstanceId, Integer> out = new TreeMap<>();
@@ -112,7 +112,7 @@
 
     @Override
     public void close() {
-        steps.close();
+        stepper.close();
         announcer.close();
         prober.close();
         servers.forEach(FakeTargetServer::close);
@@ -137,28 +137,28 @@
     }
 
     private void announce(Announcement announcement) {
-        NetAddress entry =
-                settings.entries().get(Math.floorMod(entryAt, settings.entries().size()));
+        NetAddress entry = settings.entries()
+                .get(Math.floorMod(entryIndex, settings.entries().size()));
         http.post()
                 .uri("http://" + entry + EnginePaths.ANNOUNCEMENTS)
-                .send(body(announcement))
+                .send(jsonBody(announcement))
                 .response()
                 .subscribe(
                         r -> {
                             if (r.status().code() != 200) {
-                                nextEntry(entry);
+                                failOver(entry);
                             }
                         },
-                        e -> nextEntry(entry));
+                        e -> failOver(entry));
     }
 
-    private void nextEntry(NetAddress failed) {
+    private void failOver(NetAddress failed) {
         announcer.offer(() -> {
             if (settings.entries()
-                    .get(Math.floorMod(entryAt, settings.entries().size()))
+                    .get(Math.floorMod(entryIndex, settings.entries().size()))
                     .equals(failed)) {
-                entryAt++;
-                LOG.infof("fake: announces at another entry than %s", failed);
+                entryIndex++;
+                LOG.infof("fake: entry %s does not accept announcements, trying the next one", failed);
             }
         });
     }
@@ -168,7 +168,7 @@
             if (t.faults().dead() || t.faults().paused()) {
                 continue;
             }
-            for (EngineOrder.Member m : t.membership().others()) {
+            for (EngineOrder.Member m : t.membership().otherMembers()) {
                 probe(t, m);
             }
         }
@@ -178,19 +178,20 @@
         http.get()
                 .uri("http://" + member.address() + EnginePaths.MEMBERSHIP)
                 .responseSingle((res, bytes) -> bytes.asString())
-                .subscribe(text -> heard(target, member, text), e -> {});
+                .subscribe(text -> onMembership(target, member, text), e -> {});
     }
 
-    private static void heard(FakeTarget target, EngineOrder.Member member, String text) {
+    private static void onMembership(FakeTarget target, EngineOrder.Member member, String text) {
         try {
-            FakeTargetServer.Member answer = Json.MAPPER.readValue(text, FakeTargetServer.Member.class);
-            target.heardFrom(member.instance(), answer.membership());
+            FakeTargetServer.MembershipResponse answer =
+                    Json.MAPPER.readValue(text, FakeTargetServer.MembershipResponse.class);
+            target.recordMembership(member.instance(), answer.membership());
         } catch (JsonProcessingException e) {
-            LOG.warnf("fake: %s gave a malformed answer", member.instance());
+            LOG.warnf("fake: malformed membership response from %s", member.instance());
         }
     }
 
-    private static Mono<ByteBuf> body(Object value) {
+    private static Mono<ByteBuf> jsonBody(Object value) {
         return Mono.fromCallable(() ->
                 Unpooled.wrappedBuffer(Json.MAPPER.writeValueAsString(value).getBytes(StandardCharsets.UTF_8)));
     }
--- a/fakes/src/main/java/org/hallwall/fakes/FakeEngineMain.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeEngineMain.java
@@ -23,7 +23,7 @@
 import org.hallwall.program.DaemonProgram;
 import org.hallwall.program.ProgramException;
 
-/** The program {@code hallwall-fake-engine}. */
+/** Command-line entry point of {@code hallwall-fake-engine}. */
 public final class FakeEngineMain extends DaemonProgram<FakeEngineSettings> {
 
     /** Creates the program. */
--- a/fakes/src/main/java/org/hallwall/fakes/FakeEngineSettings.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeEngineSettings.java
@@ -25,15 +25,15 @@
 import org.hallwall.program.LogFormat;
 
 /**
- * The settings of the stand-in program; it may hold many targets.
+ * Settings of the fake engine program, which can host several targets.
  *
- * @param entries the addresses at which targets announce themselves; the first one that answers is used
- * @param targets the targets
- * @param admin where the admin port listens
- * @param announceMillis how often a target announces itself
- * @param weightLoadsAtOnce how many targets of this process may load weights at once
- * @param logFormat the form of the log
- * @param logLevel the least level logged
+ * @param entries the entry addresses that receive announcements; on failure the next one is used
+ * @param targets the hosted targets
+ * @param admin the address of the admin port
+ * @param announceMillis the announcement interval, in milliseconds
+ * @param weightLoadsAtOnce the maximum number of concurrent weight loads in this process
+ * @param logFormat the log format
+ * @param logLevel the minimum log level
  */
 public record FakeEngineSettings(
         List<NetAddress> entries,
@@ -45,13 +45,13 @@
         String logLevel)
         implements DaemonSettings {
 
-    private static final long USUAL_ANNOUNCE_MILLIS = 500;
-    private static final int USUAL_LOADS = 1_000;
+    private static final long DEFAULT_ANNOUNCE_MILLIS = 500;
+    private static final int DEFAULT_WEIGHT_LOADS = 1_000;
 
-    /** Fills in what the file leaves out. */
+    /** Applies defaults for missing settings. */
     public FakeEngineSettings {
-        announceMillis = announceMillis == null ? USUAL_ANNOUNCE_MILLIS : announceMillis;
-        weightLoadsAtOnce = weightLoadsAtOnce == null ? USUAL_LOADS : weightLoadsAtOnce;
+        announceMillis = announceMillis == null ? DEFAULT_ANNOUNCE_MILLIS : announceMillis;
+        weightLoadsAtOnce = weightLoadsAtOnce == null ? DEFAULT_WEIGHT_LOADS : weightLoadsAtOnce;
         logFormat = logFormat == null ? LogFormat.TEXT : logFormat;
         logLevel = logLevel == null ? "INFO" : logLevel;
     }
--- a/fakes/src/main/java/org/hallwall/fakes/FakeFaults.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeFaults.java
@@ -19,18 +19,18 @@
 package org.hallwall.fakes;
 
 /**
- * The faults switched on at a stand-in target.
+ * Faults injected into a fake target.
  *
- * @param dead whether it neither listens nor announces
- * @param paused whether it stands still
- * @param leaving whether it announces that it is about to stop
- * @param slowFactor how many times slower it generates; one is normal speed
- * @param dieAfterToken at which token of a run it dies; negative for never
- * @param cutAfterToken at which token of a run it cuts the connection once, the run going on; negative for never
- * @param foreignFrames whether it mixes frames of another attempt into its answers
- * @param doubledFrames whether it sends each frame twice
- * @param silentRuns whether it runs requests without answering
- * @param cutService whether a plain service cuts the connection after it has run a call
+ * @param dead whether the target closes all connections and stops announcing
+ * @param paused whether the target suspends all processing
+ * @param leaving whether the target announces that it is shutting down
+ * @param slowFactor the factor by which generation is slowed down; one is normal speed
+ * @param dieAfterToken the token of a run at which the target dies; negative disables the fault
+ * @param cutAfterToken the token of a run at which the connection is dropped while the run continues; negative disables the fault
+ * @param foreignFrames whether frames of another attempt are mixed into responses
+ * @param doubledFrames whether each frame is sent twice
+ * @param silentRuns whether runs are executed without sending frames
+ * @param cutService whether a plain service drops the connection after executing a call
  */
 public record FakeFaults(
         boolean dead,
--- a/fakes/src/main/java/org/hallwall/fakes/FakeMembership.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeMembership.java
@@ -26,110 +26,112 @@
 import org.hallwall.engine.EngineOrder;
 import org.hallwall.engine.GroupMembership;
 
-/** The group of a stand-in engine and the weights that it holds. Safe for use by several threads. */
+/** The group membership and loaded weights of a fake engine. Thread-safe. */
 final class FakeMembership {
 
     private final FakeTargetSettings settings;
-    private final FakeWeights weights;
+    private final FakeWeightStore weights;
     private final FakeAccount account;
-    private EngineOrder joined;
-    private FencingNumber highest = FencingNumber.NONE;
-    private String model;
-    private String version;
-    private long loadsUntil;
+    private EngineOrder joinOrder;
+    private FencingNumber highestFencing = FencingNumber.NONE;
+    private String loadedModel;
+    private String loadedVersion;
+    private long loadEndMillis;
 
-    FakeMembership(FakeTargetSettings settings, FakeWeights weights, FakeAccount account) {
+    FakeMembership(FakeTargetSettings settings, FakeWeightStore weights, FakeAccount account) {
         this.settings = settings;
         this.weights = weights;
         this.account = account;
     }
 
-    /** Takes an order; returns null, or why it is refused. */
-    synchronized Refusal take(EngineOrder order, long now, long wallClock) {
+    /** Applies an order; returns null on success or the reason for the refusal. */
+    synchronized Refusal applyOrder(EngineOrder order, long now, long wallClock) {
         if (settings.checksFencing()) {
-            if (order.fencing().compareTo(highest) < 0) {
-                return new Refusal("old fencing number", highest);
+            if (order.fencing().compareTo(highestFencing) < 0) {
+                return new Refusal("old fencing number", highestFencing);
             }
             if (wallClock > order.expiresAt()) {
-                return new Refusal("expired order", highest);
+                return new Refusal("expired order", highestFencing);
             }
         }
-        highest = highest.max(order.fencing());
+        highestFencing = highestFencing.max(order.fencing());
         if (order.kind() == EngineOrder.Kind.LEAVE) {
-            joined = null;
+            joinOrder = null;
         } else {
-            joined = order;
+            joinOrder = order;
             loadIfNeeded(order, now);
         }
-        account.groupChanged(joined == null ? null : order.group(), order.fencing(), wallClock);
+        account.recordGroupChange(joinOrder == null ? null : order.group(), order.fencing(), wallClock);
         return null;
     }
 
     synchronized void step(long now) {
-        if (joined != null && loadsUntil > 0 && now >= loadsUntil) {
-            loadsUntil = 0;
-            model = joined.model();
-            version = joined.version();
+        if (joinOrder != null && loadEndMillis > 0 && now >= loadEndMillis) {
+            loadEndMillis = 0;
+            loadedModel = joinOrder.model();
+            loadedVersion = joinOrder.version();
         }
     }
 
     synchronized GroupMembership current() {
-        if (joined == null) {
+        if (joinOrder == null) {
             return null;
         }
         List<InstanceId> members =
-                joined.members().stream().map(EngineOrder.Member::instance).toList();
-        return new GroupMembership(joined.group(), joined.modelGroup(), joined.fencing(), members, loadsUntil == 0);
+                joinOrder.members().stream().map(EngineOrder.Member::instance).toList();
+        return new GroupMembership(
+                joinOrder.group(), joinOrder.modelGroup(), joinOrder.fencing(), members, loadEndMillis == 0);
     }
 
-    synchronized List<EngineOrder.Member> others() {
-        if (joined == null) {
+    synchronized List<EngineOrder.Member> otherMembers() {
+        if (joinOrder == null) {
             return List.of();
         }
-        return joined.members().stream()
+        return joinOrder.members().stream()
                 .filter(m -> !m.instance().equals(settings.instance()))
                 .toList();
     }
 
     synchronized boolean isHeadOf(GroupId group) {
-        return joined != null
-                && joined.group().equals(group)
-                && loadsUntil == 0
-                && joined.members().get(0).instance().equals(settings.instance());
+        return joinOrder != null
+                && joinOrder.group().equals(group)
+                && loadEndMillis == 0
+                && joinOrder.members().get(0).instance().equals(settings.instance());
     }
 
-    synchronized EngineOrder joined() {
-        return joined;
+    synchronized EngineOrder joinOrder() {
+        return joinOrder;
     }
 
-    synchronized FencingNumber highest() {
-        return highest;
+    synchronized FencingNumber highestFencing() {
+        return highestFencing;
     }
 
-    synchronized String model() {
-        return model;
+    synchronized String loadedModel() {
+        return loadedModel;
     }
 
-    synchronized String version() {
-        return version;
+    synchronized String loadedVersion() {
+        return loadedVersion;
     }
 
     private void loadIfNeeded(EngineOrder order, long now) {
-        boolean holds = order.model().equals(model) && order.version().equals(version);
-        if (holds) {
-            loadsUntil = 0;
+        boolean alreadyLoaded =
+                order.model().equals(loadedModel) && order.version().equals(loadedVersion);
+        if (alreadyLoaded) {
+            loadEndMillis = 0;
         } else {
-            model = null;
-            version = null;
-            loadsUntil = weights.reserve(now, settings.weightMillis());
+            loadedModel = null;
+            loadedVersion = null;
+            loadEndMillis = weights.reserve(now, settings.weightMillis());
         }
     }
 
     /**
-     * Why an order is refused.
+     * The reason for refusing an order.
      *
-     * @param reason one sentence
-     * @param held the highest fencing number taken
+     * @param reason the reason, as text
+     * @param held the highest fencing number accepted so far
      */
     record Refusal(String reason, FencingNumber held) {}
 }
--- a/fakes/src/main/java/org/hallwall/fakes/FakePrefixCache.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakePrefixCache.java
@@ -21,11 +21,11 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A prefix cache of limited size: the blocks used longest ago go first. */
+/** A prefix cache of bounded size with least-recently-used eviction. */
 final class FakePrefixCache {
 
     private static final int BLOCK_CHARS = 64;
-    private static final int TOKENS_A_BLOCK = 16;
+    private static final int TOKENS_PER_BLOCK = 16;
 
     private final Map<Integer, Boolean> blocks;
 
@@ -38,15 +38,15 @@
         };
     }
 
-    /** Looks a prompt up and keeps it; returns how many of its tokens were cached. */
-    int use(String prompt) {
+    /** Returns the number of cached prefix tokens of a prompt and inserts all its blocks. */
+    int lookupAndInsert(String prompt) {
         int cached = 0;
         boolean matching = true;
         int chain = 1;
-        for (int at = 0; at + BLOCK_CHARS <= prompt.length(); at += BLOCK_CHARS) {
-            chain = 31 * chain + prompt.substring(at, at + BLOCK_CHARS).hashCode();
+        for (int offset = 0; offset + BLOCK_CHARS <= prompt.length(); offset += BLOCK_CHARS) {
+            chain = 31 * chain + prompt.substring(offset, offset + BLOCK_CHARS).hashCode();
             matching = matching && blocks.get(chain) != null;
-            cached += matching ? TOKENS_A_BLOCK : 0;
+            cached += matching ? TOKENS_PER_BLOCK : 0;
             blocks.put(chain, Boolean.TRUE);
         }
         return cached;
--- a/fakes/src/main/java/org/hallwall/fakes/FakeRun.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeRun.java
@@ -31,10 +31,10 @@
 import org.hallwall.engine.RunFrame;
 import reactor.core.publisher.FluxSink;
 
-/** One run of a stand-in engine. Its frames are kept, so that a broken connection can go on. */
+/** A run of a fake engine. Frames are retained so that a client can resume after a lost connection. */
 final class FakeRun {
 
-    private static final AttemptId FOREIGN = new AttemptId("foreign-attempt");
+    private static final AttemptId FOREIGN_ATTEMPT = new AttemptId("foreign-attempt");
 
     private final EngineRun request;
     private final String promptHash;
@@ -42,9 +42,9 @@
     private final int cachedTokens;
     private final List<byte[]> frames = new ArrayList<>();
     private FluxSink<ByteBuf> sink;
-    private int sent;
-    private double firstTokenAt;
-    private int tokens;
+    private int nextFrame;
+    private double firstTokenMillis;
+    private int generatedTokens;
     private RunFrame.End end;
 
     FakeRun(EngineRun request, int promptTokens, int cachedTokens) {
@@ -66,81 +66,82 @@
         return cachedTokens;
     }
 
-    int tokens() {
-        return tokens;
+    int generatedTokens() {
+        return generatedTokens;
     }
 
     RunFrame.End end() {
         return end;
     }
 
-    void startAt(double firstTokenTime) {
-        firstTokenAt = firstTokenTime;
+    void scheduleFirstToken(double firstTokenTime) {
+        firstTokenMillis = firstTokenTime;
     }
 
-    /** Generates the tokens that are due. */
+    /** Generates all tokens that are due. */
     synchronized void generate(double now, double millisPerToken) {
-        while (end == null && firstTokenAt + tokens * millisPerToken <= now) {
-            add(new RunFrame(request.attempt(), tokens, FakeAnswer.token(promptHash, tokens), null, null));
-            tokens++;
-            if (tokens >= request.maxTokens()) {
+        while (end == null && firstTokenMillis + generatedTokens * millisPerToken <= now) {
+            addFrame(new RunFrame(
+                    request.attempt(), generatedTokens, FakeAnswer.token(promptHash, generatedTokens), null, null));
+            generatedTokens++;
+            if (generatedTokens >= request.maxTokens()) {
                 finish(RunFrame.End.STOP);
             }
         }
     }
 
-    synchronized void finish(RunFrame.End how) {
+    synchronized void finish(RunFrame.End reason) {
         if (end != null) {
             return;
         }
-        end = how;
-        RunFrame.Usage usage = new RunFrame.Usage(promptTokens, cachedTokens, tokens);
-        add(new RunFrame(request.attempt(), tokens, null, how, usage));
+        end = reason;
+        RunFrame.Usage usage = new RunFrame.Usage(promptTokens, cachedTokens, generatedTokens);
+        addFrame(new RunFrame(request.attempt(), generatedTokens, null, reason, usage));
     }
 
-    synchronized void attach(FluxSink<ByteBuf> fresh, int from) {
-        sink = fresh;
-        sent = Math.min(from, frames.size());
+    synchronized void attach(FluxSink<ByteBuf> newSink, int from) {
+        sink = newSink;
+        nextFrame = Math.min(from, frames.size());
     }
 
-    synchronized void cutConnection() {
+    synchronized void dropConnection() {
         if (sink != null) {
-            sink.error(new IllegalStateException("cut by a fault switch"));
+            sink.error(new IllegalStateException("connection dropped by fault injection"));
             sink = null;
         }
     }
 
-    /** Sends what was generated since the last time, in one buffer. */
+    /** Sends all unsent frames in one buffer. */
     synchronized void flush(FakeFaults faults) {
-        if (sink == null || sent >= frames.size() || faults.silentRuns()) {
+        if (sink == null || nextFrame >= frames.size() || faults.silentRuns()) {
             return;
         }
-        List<byte[]> out = new ArrayList<>();
-        for (; sent < frames.size(); sent++) {
+        List<byte[]> buffers = new ArrayList<>();
+        for (; nextFrame < frames.size(); nextFrame++) {
             if (faults.foreignFrames()) {
-                out.add(line(new RunFrame(FOREIGN, sent, "foreign", null, null)));
+                buffers.add(encodeLine(new RunFrame(FOREIGN_ATTEMPT, nextFrame, "foreign", null, null)));
             }
-            out.add(frames.get(sent));
+            buffers.add(frames.get(nextFrame));
             if (faults.doubledFrames()) {
-                out.add(frames.get(sent));
+                buffers.add(frames.get(nextFrame));
             }
         }
-        sink.next(Unpooled.wrappedBuffer(out.toArray(new byte[0][])));
+        sink.next(Unpooled.wrappedBuffer(buffers.toArray(new byte[0][])));
         if (end != null) {
             sink.complete();
             sink = null;
         }
     }
 
-    private void add(RunFrame frame) {
-        frames.add(line(frame));
+    private void addFrame(RunFrame frame) {
+        frames.add(encodeLine(frame));
     }
 
-    private static byte[] line(RunFrame frame) {
+    private static byte[] encodeLine(RunFrame frame) {
         try {
             return (Json.MAPPER.writeValueAsString(frame) + "\n").getBytes(StandardCharsets.UTF_8);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a frame cannot be written", e);
+            throw new IllegalStateException("cannot serialize frame", e);
         }
     }
 }
--- a/fakes/src/main/java/org/hallwall/fakes/FakeTarget.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeTarget.java
@@ -39,28 +39,28 @@
 import org.jboss.logging.Logger;
 import reactor.core.publisher.Flux;
 
-/** One stand-in target: a model engine, or a plain service. */
+/** A fake target: a model engine or a plain service. */
 final class FakeTarget {
 
     private static final Logger LOG = Logger.getLogger(FakeTarget.class);
-    private static final long MEMBER_LOST_MILLIS = 600;
+    private static final long MEMBER_TIMEOUT_MILLIS = 600;
 
     private final FakeTargetSettings settings;
-    private final String boot = UUID.randomUUID().toString();
+    private final String bootId = UUID.randomUUID().toString();
     private final AtomicLong sequence = new AtomicLong();
     private final FakeAccount account = new FakeAccount();
-    private final FakeRuns runs;
+    private final FakeBatchScheduler scheduler;
     private final FakeMembership membership;
-    private final Map<InstanceId, Long> heardMembers = new ConcurrentHashMap<>();
+    private final Map<InstanceId, Long> memberSeenMillis = new ConcurrentHashMap<>();
     private volatile FakeFaults faults = FakeFaults.NONE;
     private volatile boolean membersMissing;
     private volatile TargetLoad reportedLoad = TargetLoad.NONE;
-    private volatile long loadAt;
+    private volatile long loadReportedMillis;
     private volatile int port;
 
-    FakeTarget(FakeTargetSettings settings, FakeWeights weights) {
+    FakeTarget(FakeTargetSettings settings, FakeWeightStore weights) {
         this.settings = settings;
-        this.runs = new FakeRuns(settings, account);
+        this.scheduler = new FakeBatchScheduler(settings, account);
         this.membership = new FakeMembership(settings, weights, account);
     }
 
@@ -80,44 +80,45 @@
         return faults;
     }
 
-    void listensOn(int listeningPort) {
+    void setPort(int listeningPort) {
         port = listeningPort;
     }
 
-    void switchFaults(FakeFaults fresh) {
-        LOG.infof("fake: %s faults are %s", settings.instance(), fresh);
-        faults = fresh;
-        if (fresh.dead()) {
-            runs.cutAll();
+    void setFaults(FakeFaults newFaults) {
+        LOG.infof("fake: faults of %s set to %s", settings.instance(), newFaults);
+        faults = newFaults;
+        if (newFaults.dead()) {
+            scheduler.dropAll();
         }
     }
 
-    FakeMembership.Refusal order(EngineOrder order) {
-        boolean regrouped =
-                membership.joined() == null || !membership.joined().group().equals(order.group());
-        FakeMembership.Refusal refusal = membership.take(order, Ticker.SYSTEM.millis(), System.currentTimeMillis());
+    FakeMembership.Refusal applyOrder(EngineOrder order) {
+        boolean regrouped = membership.joinOrder() == null
+                || !membership.joinOrder().group().equals(order.group());
+        FakeMembership.Refusal refusal =
+                membership.applyOrder(order, Ticker.SYSTEM.millis(), System.currentTimeMillis());
         if (refusal == null && (regrouped || order.kind() == EngineOrder.Kind.LEAVE)) {
-            runs.failAll();
-            heardMembers.clear();
+            scheduler.failAll();
+            memberSeenMillis.clear();
             membersMissing = true;
         }
         return refusal;
     }
 
-    boolean serves(GroupId group) {
+    boolean isServing(GroupId group) {
         return membership.isHeadOf(group) && !membersMissing && !faults.dead();
     }
 
     FakeRun run(EngineRun request) {
-        return runs.add(request);
+        return scheduler.add(request);
     }
 
     FakeRun run(AttemptId attempt) {
-        return runs.get(attempt);
+        return scheduler.get(attempt);
     }
 
     boolean cancel(AttemptId attempt) {
-        return runs.cancel(attempt);
+        return scheduler.cancel(attempt);
     }
 
     Flux<ByteBuf> frames(FakeRun run, int from) {
@@ -127,53 +128,54 @@
         });
     }
 
-    /** Lets time pass. */
+    /** Advances the target to the given time. */
     void step(double now) {
         if (faults.paused() || faults.dead()) {
             return;
         }
         membership.step((long) now);
-        noteMembers((long) now);
-        if (runs.step(now, faults)) {
-            switchFaults(new FakeFaults(true, false, false, 1, -1, -1, false, false, false, false));
+        checkMembers((long) now);
+        if (scheduler.step(now, faults)) {
+            setFaults(new FakeFaults(true, false, false, 1, -1, -1, false, false, false, false));
         }
-        if (now - loadAt >= settings.loadLagMillis()) {
-            loadAt = (long) now;
-            reportedLoad = runs.load();
+        if (now - loadReportedMillis >= settings.loadLagMillis()) {
+            loadReportedMillis = (long) now;
+            reportedLoad = scheduler.load();
         }
     }
 
-    /** The first member asks the others; a member that does not answer breaks the group. */
-    void heardFrom(InstanceId member, GroupMembership theirs) {
+    /** Records the membership that a probed member reported; members that stop responding make the group fail. */
+    void recordMembership(InstanceId member, GroupMembership reported) {
         GroupMembership own = membership.current();
-        boolean same = own != null && theirs != null && own.group().equals(theirs.group()) && theirs.loaded();
-        if (same) {
-            heardMembers.put(member, Ticker.SYSTEM.millis());
+        boolean sameGroup =
+                own != null && reported != null && own.group().equals(reported.group()) && reported.loaded();
+        if (sameGroup) {
+            memberSeenMillis.put(member, Ticker.SYSTEM.millis());
         }
     }
 
-    private void noteMembers(long now) {
+    private void checkMembers(long now) {
         boolean missing = false;
-        for (EngineOrder.Member m : membership.others()) {
-            Long heard = heardMembers.get(m.instance());
-            missing |= heard == null || now - heard > MEMBER_LOST_MILLIS;
+        for (EngineOrder.Member m : membership.otherMembers()) {
+            Long lastSeen = memberSeenMillis.get(m.instance());
+            missing |= lastSeen == null || now - lastSeen > MEMBER_TIMEOUT_MILLIS;
         }
         if (missing && !membersMissing) {
-            LOG.infof("fake: %s misses a member of its group", settings.instance());
-            runs.failAll();
+            LOG.infof("fake: %s lost contact with a member of its group", settings.instance());
+            scheduler.failAll();
         }
         membersMissing = missing;
     }
 
     Announcement announcement() {
         GroupMembership group = membership.current();
-        EngineOrder joined = membership.joined();
+        EngineOrder joined = membership.joinOrder();
         NetAddress address = settings.advertise() != null
                 ? settings.advertise()
                 : new NetAddress(settings.listen().host(), port);
         return new Announcement(
                 settings.instance(),
-                boot,
+                bootId,
                 sequence.incrementAndGet(),
                 settings.failureDomain(),
                 settings.fabricDomain(),
@@ -182,9 +184,9 @@
                 settings.checksFencing(),
                 settings.service(),
                 group,
-                membership.highest(),
-                membership.model(),
-                membership.version(),
+                membership.highestFencing(),
+                membership.loadedModel(),
+                membership.loadedVersion(),
                 joined == null ? List.of() : joined.adapters(),
                 joined == null ? null : joined.role(),
                 reportedLoad,
--- a/fakes/src/main/java/org/hallwall/fakes/FakeTargetServer.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeTargetServer.java
@@ -47,10 +47,10 @@
 import reactor.netty.http.server.HttpServerResponse;
 import reactor.netty.http.server.HttpServerRoutes;
 
-/** The HTTP port of one stand-in target. */
+/** HTTP server of a fake target. */
 final class FakeTargetServer implements Closeable {
 
-    private static final Duration PAUSE_POLL = Duration.ofMillis(50);
+    private static final Duration PAUSE_POLL_INTERVAL = Duration.ofMillis(50);
 
     private final FakeTarget target;
     private DisposableServer server;
@@ -65,7 +65,7 @@
                 .port(target.settings().listen().port())
                 .route(this::addRoutes);
         server = HttpPorts.bind(http, target.settings().listen());
-        target.listensOn(server.port());
+        target.setPort(server.port());
     }
 
     int port() {
@@ -81,26 +81,27 @@
         routes.get(
                         "/fake/account",
                         (req, res) ->
-                                HttpReplies.json(res, 200, target.account().copy()))
+                                HttpReplies.json(res, 200, target.account().snapshot()))
                 .post("/fake/faults", this::switchFaults)
-                .get(EnginePaths.MEMBERSHIP, alive(this::membership))
-                .post(EnginePaths.ORDERS, alive(this::order))
-                .post(EnginePaths.RUNS, alive(this::run))
-                .get(EnginePaths.RUNS + "/{attempt}", alive(this::resume))
-                .delete(EnginePaths.RUNS + "/{attempt}", alive(this::cancel))
-                .route(r -> target.settings().service() != null, alive(this::call));
+                .get(EnginePaths.MEMBERSHIP, withFaults(this::membership))
+                .post(EnginePaths.ORDERS, withFaults(this::order))
+                .post(EnginePaths.RUNS, withFaults(this::run))
+                .get(EnginePaths.RUNS + "/{attempt}", withFaults(this::resume))
+                .delete(EnginePaths.RUNS + "/{attempt}", withFaults(this::cancel))
+                .route(r -> target.settings().service() != null, withFaults(this::call));
     }
 
     private Publisher<Void> membership(HttpServerRequest req, HttpServerResponse res) {
         return HttpReplies.json(
                 res,
                 200,
-                new Member(target.settings().instance(), target.membership().current()));
+                new MembershipResponse(
+                        target.settings().instance(), target.membership().current()));
     }
 
     private Publisher<Void> order(HttpServerRequest req, HttpServerResponse res) {
         return body(req, EngineOrder.class).flatMap(order -> {
-            FakeMembership.Refusal refusal = target.order(order);
+            FakeMembership.Refusal refusal = target.applyOrder(order);
             return Mono.from(
                     refusal == null
                             ? HttpReplies.json(res, 200, Map.of("taken", true))
@@ -110,7 +111,7 @@
 
     private Publisher<Void> run(HttpServerRequest req, HttpServerResponse res) {
         return body(req, EngineRun.class).flatMap(request -> {
-            if (!target.serves(request.group())) {
+            if (!target.isServing(request.group())) {
                 return Mono.from(HttpReplies.json(res, 409, Map.of("reason", "this group does not serve here")));
             }
             FakeRun run = target.run(request);
@@ -145,7 +146,7 @@
     private Publisher<Void> call(HttpServerRequest req, HttpServerResponse res) {
         return req.receive().aggregate().asString().defaultIfEmpty("").flatMap(body -> {
             String hash = FakeAnswer.hash(body);
-            target.account().called(req.method().name(), req.uri(), hash, System.currentTimeMillis());
+            target.account().recordCall(req.method().name(), req.uri(), hash, System.currentTimeMillis());
             if (target.faults().cutService()) {
                 res.withConnection(c -> c.channel().close());
                 return Mono.never();
@@ -155,13 +156,13 @@
         });
     }
 
-    /** What the request does not name stays as it is. */
+    /** Updates the faults named in the request and keeps all others. */
     private Publisher<Void> switchFaults(HttpServerRequest req, HttpServerResponse res) {
         return req.receive().aggregate().asString().flatMap(text -> {
             try {
                 ObjectNode faults = Json.MAPPER.valueToTree(target.faults());
                 faults.setAll((ObjectNode) Json.MAPPER.readTree(text));
-                target.switchFaults(Json.MAPPER.treeToValue(faults, FakeFaults.class));
+                target.setFaults(Json.MAPPER.treeToValue(faults, FakeFaults.class));
                 return Mono.from(HttpReplies.json(res, 200, target.faults()));
             } catch (JsonProcessingException e) {
                 return Mono.from(HttpReplies.json(res, 400, Map.of("reason", e.getOriginalMessage())));
@@ -179,8 +180,8 @@
         });
     }
 
-    /** A dead target cuts each connection; a paused one answers only when it goes on. */
-    private BiFunction<HttpServerRequest, HttpServerResponse, Publisher<Void>> alive(
+    /** Wraps a handler so that a dead target closes the connection and a paused one defers the response. */
+    private BiFunction<HttpServerRequest, HttpServerResponse, Publisher<Void>> withFaults(
             BiFunction<HttpServerRequest, HttpServerResponse, Publisher<Void>> handler) {
         return (req, res) -> {
             if (target.faults().dead()) {
@@ -188,7 +189,7 @@
                 return Mono.never();
             }
             if (target.faults().paused()) {
-                return Flux.interval(PAUSE_POLL)
+                return Flux.interval(PAUSE_POLL_INTERVAL)
                         .takeUntil(i -> !target.faults().paused())
                         .then(Mono.defer(() -> Mono.from(handler.apply(req, res))));
             }
@@ -196,6 +197,6 @@
         };
     }
 
-    /** The answer to another member. */
-    record Member(InstanceId instance, GroupMembership membership) {}
+    /** Response to a membership probe of another member. */
+    record MembershipResponse(InstanceId instance, GroupMembership membership) {}
 }
--- a/fakes/src/main/java/org/hallwall/fakes/FakeTargetSettings.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeTargetSettings.java
@@ -25,23 +25,23 @@
 import org.hallwall.core.settings.NetAddress;
 
 /**
- * The settings of one stand-in target.
+ * Settings of a fake target.
  *
- * @param instance its name
- * @param failureDomain its failure domain
- * @param fabricDomain its fabric domain
- * @param accelerators how many accelerators it claims to have
- * @param listen where it listens
- * @param advertise the address it announces; null for the one it listens on
- * @param checksFencing whether it refuses old fencing numbers and expired orders
- * @param service the plain service that it offers; null for a model engine
- * @param slots how many runs it executes at once
- * @param tokensPerSecond the tokens a second of each run
- * @param prefillTokensPerSecond how fast it reads prompts that are not cached
- * @param cacheBlocks the size of its prefix cache, in blocks
- * @param weightMillis how long it takes to load weights
- * @param loadLagMillis how old the load is that it reports
- * @param serviceMillis how long a call of the plain service takes
+ * @param instance the instance id
+ * @param failureDomain the failure domain
+ * @param fabricDomain the fabric domain
+ * @param accelerators the announced number of accelerators
+ * @param listen the listen address
+ * @param advertise the announced address; null for the listen address
+ * @param checksFencing whether stale fencing numbers and expired orders are refused
+ * @param service the offered plain service; null for a model engine
+ * @param slots the maximum number of concurrent runs
+ * @param tokensPerSecond the generation rate of each run
+ * @param prefillTokensPerSecond the prefill rate for uncached prompt tokens
+ * @param cacheBlocks the size of the prefix cache, in blocks
+ * @param weightMillis the duration of a weight load
+ * @param loadLagMillis the update interval of the reported load
+ * @param serviceMillis the duration of a call of the plain service
  */
 public record FakeTargetSettings(
         InstanceId instance,
@@ -60,24 +60,25 @@
         Long loadLagMillis,
         Long serviceMillis) {
 
-    private static final int USUAL_ACCELERATORS = 4;
-    private static final int USUAL_SLOTS = 32;
-    private static final double USUAL_RATE = 200;
-    private static final double USUAL_PREFILL_RATE = 20_000;
-    private static final int USUAL_BLOCKS = 2_000;
-    private static final long USUAL_WEIGHT_MILLIS = 500;
-    private static final long USUAL_LAG_MILLIS = 200;
+    private static final int DEFAULT_ACCELERATORS = 4;
+    private static final int DEFAULT_SLOTS = 32;
+    private static final double DEFAULT_TOKENS_PER_SECOND = 200;
+    private static final double DEFAULT_PREFILL_TOKENS_PER_SECOND = 20_000;
+    private static final int DEFAULT_CACHE_BLOCKS = 2_000;
+    private static final long DEFAULT_WEIGHT_MILLIS = 500;
+    private static final long DEFAULT_LOAD_LAG_MILLIS = 200;
 
-    /** Fills in what the file leaves out. */
+    /** Applies defaults for missing settings. */
     public FakeTargetSettings {
-        accelerators = accelerators == null ? USUAL_ACCELERATORS : accelerators;
+        accelerators = accelerators == null ? DEFAULT_ACCELERATORS : accelerators;
         checksFencing = checksFencing == null || checksFencing;
-        slots = slots == null ? USUAL_SLOTS : slots;
-        tokensPerSecond = tokensPerSecond == null ? USUAL_RATE : tokensPerSecond;
-        prefillTokensPerSecond = prefillTokensPerSecond == null ? USUAL_PREFILL_RATE : prefillTokensPerSecond;
-        cacheBlocks = cacheBlocks == null ? USUAL_BLOCKS : cacheBlocks;
-        weightMillis = weightMillis == null ? USUAL_WEIGHT_MILLIS : weightMillis;
-        loadLagMillis = loadLagMillis == null ? USUAL_LAG_MILLIS : loadLagMillis;
+        slots = slots == null ? DEFAULT_SLOTS : slots;
+        tokensPerSecond = tokensPerSecond == null ? DEFAULT_TOKENS_PER_SECOND : tokensPerSecond;
+        prefillTokensPerSecond =
+                prefillTokensPerSecond == null ? DEFAULT_PREFILL_TOKENS_PER_SECOND : prefillTokensPerSecond;
+        cacheBlocks = cacheBlocks == null ? DEFAULT_CACHE_BLOCKS : cacheBlocks;
+        weightMillis = weightMillis == null ? DEFAULT_WEIGHT_MILLIS : weightMillis;
+        loadLagMillis = loadLagMillis == null ? DEFAULT_LOAD_LAG_MILLIS : loadLagMillis;
         serviceMillis = serviceMillis == null ? 0 : serviceMillis;
     }
 }
--- a/fakes/src/main/java/org/hallwall/fakes/FakeWeights.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeWeightStore.java
@@ -20,19 +20,19 @@
 
 import java.util.Arrays;
 
-/** The weight store of a process: so many loads at once, the others wait. Safe for use by several threads. */
-final class FakeWeights {
+/** The weight store of a process, with a bounded number of concurrent loads. Thread-safe. */
+final class FakeWeightStore {
 
-    private final long[] freeAt;
+    private final long[] slotFreeMillis;
 
-    FakeWeights(int loadsAtOnce) {
-        freeAt = new long[loadsAtOnce];
+    FakeWeightStore(int loadsAtOnce) {
+        slotFreeMillis = new long[loadsAtOnce];
     }
 
-    /** Reserves a load; returns when it will be done. */
+    /** Reserves the next free slot for a load and returns the completion time. */
     synchronized long reserve(long now, long millis) {
-        Arrays.sort(freeAt);
-        freeAt[0] = Math.max(now, freeAt[0]) + millis;
-        return Math.max(1, freeAt[0]);
+        Arrays.sort(slotFreeMillis);
+        slotFreeMillis[0] = Math.max(now, slotFreeMillis[0]) + millis;
+        return Math.max(1, slotFreeMillis[0]);
     }
 }
--- a/fakes/src/main/java/org/hallwall/fakes/package-info.java
+++ b/fakes/src/main/java/org/hallwall/fakes/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** A stand-in for model engines and plain services, for tests, first steps and measurement. */
+/** Fake model engines and plain services for tests, evaluation and load experiments. */
 package org.hallwall.fakes;
--- a/fakes/src/main/java/org/hallwall/fakes/proxy/FaultDirection.java
+++ b/fakes/src/main/java/org/hallwall/fakes/proxy/FaultDirection.java
@@ -18,10 +18,10 @@
  */
 package org.hallwall.fakes.proxy;
 
-/** The direction in which bytes go through a proxy. */
+/** Direction of traffic through a {@link FaultProxy}. */
 public enum FaultDirection {
-    /** From the one that connected to the one behind the proxy. */
+    /** From the client to the upstream address. */
     FORWARD,
-    /** Back. */
+    /** From the upstream address to the client. */
     BACKWARD
 }
--- a/fakes/src/main/java/org/hallwall/fakes/proxy/FaultProxy.java
+++ b/fakes/src/main/java/org/hallwall/fakes/proxy/FaultProxy.java
@@ -31,35 +31,35 @@
 import org.jboss.logging.Logger;
 
 /**
- * Passes TCP connections on to one address. What a cut direction carries is held back and goes on after the cut, as in a
- * network that lost its path for a while; {@link #reset()} breaks all connections instead.
+ * A TCP proxy for fault injection. Bytes in a cut direction are held back and delivered after {@link #heal()}, as in a
+ * transient network partition; {@link #reset()} closes all connections instead.
  */
 public final class FaultProxy implements Closeable {
 
     private static final Logger LOG = Logger.getLogger(FaultProxy.class);
     private static final int BACKLOG = 200;
-    private static final int CONNECT_MILLIS = 2_000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
 
     private final ServerSocket listener;
-    private final NetAddress behind;
+    private final NetAddress upstream;
     private final FaultState state = new FaultState();
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private volatile boolean closed;
 
     /**
-     * Opens a proxy on a free loopback port.
+     * Starts a proxy on a free loopback port.
      *
-     * @param behind where connections go
-     * @throws IOException if no port can be opened
+     * @param upstream the address to connect to
+     * @throws IOException if no port can be bound
      */
-    public FaultProxy(NetAddress behind) throws IOException {
-        this.behind = behind;
+    public FaultProxy(NetAddress upstream) throws IOException {
+        this.upstream = upstream;
         this.listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
-        start("proxy-accept", this::acceptAll);
+        startThread("proxy-accept", this::acceptConnections);
     }
 
     /**
-     * Gives the address to connect to.
+     * Returns the listen address of the proxy.
      *
      * @return the address
      */
@@ -68,36 +68,36 @@
     }
 
     /**
-     * Delays all bytes from now on.
+     * Delays all subsequent bytes.
      *
      * @param millis the delay; zero for none
      */
     public void delay(long millis) {
-        state.delay(millis);
+        state.setDelay(millis);
     }
 
     /**
-     * Holds back all bytes of a direction from now on.
+     * Holds back all subsequent bytes of a direction.
      *
      * @param direction the direction
      */
     public void cut(FaultDirection direction) {
-        state.cut(direction, true);
+        state.setBlocked(direction, true);
     }
 
-    /** Holds back all bytes from now on. */
+    /** Holds back all subsequent bytes of both directions. */
     public void cut() {
-        state.cut(FaultDirection.FORWARD, true);
-        state.cut(FaultDirection.BACKWARD, true);
+        state.setBlocked(FaultDirection.FORWARD, true);
+        state.setBlocked(FaultDirection.BACKWARD, true);
     }
 
-    /** Lets all bytes through again, also those held back. */
+    /** Resumes both directions and delivers the bytes that were held back. */
     public void heal() {
-        state.cut(FaultDirection.FORWARD, false);
-        state.cut(FaultDirection.BACKWARD, false);
+        state.setBlocked(FaultDirection.FORWARD, false);
+        state.setBlocked(FaultDirection.BACKWARD, false);
     }
 
-    /** Breaks all connections. */
+    /** Closes all connections. */
     public void reset() {
         for (Socket s : sockets) {
             closeQuietly(s);
@@ -107,21 +107,21 @@
     @Override
     public void close() throws IOException {
         closed = true;
-        state.cut(FaultDirection.FORWARD, false);
-        state.cut(FaultDirection.BACKWARD, false);
+        state.setBlocked(FaultDirection.FORWARD, false);
+        state.setBlocked(FaultDirection.BACKWARD, false);
         listener.close();
         reset();
     }
 
-    private void acceptAll() {
+    private void acceptConnections() {
         while (!closed) {
             try {
                 Socket from = listener.accept();
                 sockets.add(from);
-                start("proxy-connect", () -> connect(from));
+                startThread("proxy-connect", () -> connect(from));
             } catch (IOException e) {
                 if (!closed) {
-                    LOG.warnf("proxy: a connection was not accepted, %s", e.getMessage());
+                    LOG.warnf("proxy: cannot accept a connection, %s", e.getMessage());
                 }
             }
         }
@@ -132,13 +132,13 @@
         try {
             to.setTcpNoDelay(true);
             from.setTcpNoDelay(true);
-            to.connect(new InetSocketAddress(behind.host(), behind.port()), CONNECT_MILLIS);
+            to.connect(new InetSocketAddress(upstream.host(), upstream.port()), CONNECT_TIMEOUT_MILLIS);
             sockets.add(to);
         } catch (IOException e) {
             closeQuietly(from);
             return;
         }
-        start("proxy-back", () -> pump(to, from, FaultDirection.BACKWARD));
+        startThread("proxy-back", () -> pump(to, from, FaultDirection.BACKWARD));
         pump(from, to, FaultDirection.FORWARD);
     }
 
@@ -146,16 +146,16 @@
         byte[] buffer = new byte[16 * 1024];
         try {
             while (true) {
-                int n = in.getInputStream().read(buffer);
-                state.awaitPassage(direction);
-                if (n < 0) {
+                int count = in.getInputStream().read(buffer);
+                state.awaitUnblocked(direction);
+                if (count < 0) {
                     break;
                 }
-                out.getOutputStream().write(buffer, 0, n);
+                out.getOutputStream().write(buffer, 0, count);
                 out.getOutputStream().flush();
             }
         } catch (IOException e) {
-            LOG.debugf("proxy: a connection ended, %s", e.getMessage());
+            LOG.debugf("proxy: connection closed, %s", e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -168,11 +168,11 @@
         try {
             s.close();
         } catch (IOException e) {
-            LOG.debugf("proxy: a socket was not closed, %s", e.getMessage());
+            LOG.debugf("proxy: cannot close a socket, %s", e.getMessage());
         }
     }
 
-    private static void start(String name, Runnable work) {
+    private static void startThread(String name, Runnable work) {
         Thread t = new Thread(work, name);
         t.setDaemon(true);
         t.start();
--- a/fakes/src/main/java/org/hallwall/fakes/proxy/FaultState.java
+++ b/fakes/src/main/java/org/hallwall/fakes/proxy/FaultState.java
@@ -21,35 +21,35 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** The faults that are switched on at a proxy. Safe for use by several threads. */
+/** The active faults of a proxy. Thread-safe. */
 final class FaultState {
 
-    private final Set<FaultDirection> cut = EnumSet.noneOf(FaultDirection.class);
+    private final Set<FaultDirection> blocked = EnumSet.noneOf(FaultDirection.class);
     private long delayMillis;
 
-    synchronized void delay(long millis) {
+    synchronized void setDelay(long millis) {
         delayMillis = millis;
     }
 
-    synchronized void cut(FaultDirection direction, boolean on) {
-        if (on) {
-            cut.add(direction);
+    synchronized void setBlocked(FaultDirection direction, boolean isBlocked) {
+        if (isBlocked) {
+            blocked.add(direction);
         } else {
-            cut.remove(direction);
+            blocked.remove(direction);
         }
         notifyAll();
     }
 
-    /** Waits until bytes of a direction may pass. */
-    void awaitPassage(FaultDirection direction) throws InterruptedException {
-        long delay = awaitUncut(direction);
+    /** Blocks until the direction is open, then for the configured delay. */
+    void awaitUnblocked(FaultDirection direction) throws InterruptedException {
+        long delay = awaitDirectionUnblocked(direction);
         if (delay > 0) {
             Thread.sleep(delay);
         }
     }
 
-    private synchronized long awaitUncut(FaultDirection direction) throws InterruptedException {
-        while (cut.contains(direction)) {
+    private synchronized long awaitDirectionUnblocked(FaultDirection direction) throws InterruptedException {
+        while (blocked.contains(direction)) {
             wait();
         }
         return delayMillis;
--- a/fakes/src/main/java/org/hallwall/fakes/proxy/package-info.java
+++ b/fakes/src/main/java/org/hallwall/fakes/proxy/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** A small proxy that delays and cuts TCP connections, for failure tests. */
+/** TCP proxy with fault injection for failure tests. */
 package org.hallwall.fakes.proxy;
--- a/integration/src/test/java/org/hallwall/fakes/FakeJsonTypes.java
+++ b/integration/src/test/java/org/hallwall/fakes/FakeJsonTypes.java
@@ -35,7 +35,7 @@
                 "settings of hallwall-fake-engine", FakeEngineSettings.class,
                 "account of a stand-in target", FakeAccount.Copy.class,
                 "faults of a stand-in target", FakeFaults.class,
-                "membership of a stand-in target", FakeTargetServer.Member.class,
+                "membership of a stand-in target", FakeTargetServer.MembershipResponse.class,
                 "refusal of a stand-in target", FakeMembership.Refusal.class);
     }
 }
