--- a/integration/src/test/java/org/hallwall/load/LoadJsonTypes.java
+++ b/integration/src/test/java/org/hallwall/load/LoadJsonTypes.java
@@ -34,6 +34,6 @@
         return Map.of(
                 "settings of hallwall-load", LoadExperiment.class,
                 "report of a load run", LoadResult.Summary.class,
-                "membership read by the load", LoadDirect.Member.class);
+                "membership read by the load", DirectLoadClient.Member.class);
     }
 }
--- a/load/src/main/java/org/hallwall/load/LoadArrivals.java
+++ b/load/src/main/java/org/hallwall/load/ArrivalGenerator.java
@@ -22,44 +22,45 @@
 import java.util.List;
 import java.util.Random;
 
-/** Draws the arrivals of an experiment: a Poisson process with a fixed seed. */
-final class LoadArrivals {
+/** Generates the requests of an experiment as a Poisson process with a fixed seed. */
+final class ArrivalGenerator {
 
     private static final double NANOS_PER_SECOND = 1e9;
 
-    private LoadArrivals() {}
+    private ArrivalGenerator() {}
 
-    static List<LoadRequest> draw(LoadExperiment e) {
+    static List<LoadRequest> generate(LoadExperiment e) {
         Random random = new Random(e.seed());
         List<LoadRequest> out = new ArrayList<>();
-        double at = 0;
+        double atSeconds = 0;
         double end = e.warmupSeconds() + e.seconds();
         while (true) {
-            at += -Math.log(1 - random.nextDouble()) / e.requestsPerSecond();
-            if (at >= end) {
+            atSeconds += -Math.log(1 - random.nextDouble()) / e.requestsPerSecond();
+            if (atSeconds >= end) {
                 return out;
             }
-            out.add(request(e, random, out.size(), at));
+            out.add(createRequest(e, random, out.size(), atSeconds));
         }
     }
 
-    private static LoadRequest request(LoadExperiment e, Random random, int number, double at) {
-        String prompt = prefix(e, random.nextInt(e.prefixes())) + " request " + e.seed() + "-" + number;
+    private static LoadRequest createRequest(LoadExperiment e, Random random, int number, double atSeconds) {
+        String prompt = createPrefix(e, random.nextInt(e.prefixes())) + " request " + e.seed() + "-" + number;
         boolean streamed = random.nextDouble() < e.streamedShare();
         boolean keyed = random.nextDouble() < e.keyedShare();
-        double dice = random.nextDouble();
-        String priority = dice < e.highShare() ? "high" : dice < e.highShare() + e.lowShare() ? "low" : "normal";
+        double priorityDraw = random.nextDouble();
+        String priority =
+                priorityDraw < e.highShare() ? "high" : priorityDraw < e.highShare() + e.lowShare() ? "low" : "normal";
         return new LoadRequest(
                 number,
-                (long) (at * NANOS_PER_SECOND),
-                at >= e.warmupSeconds(),
+                (long) (atSeconds * NANOS_PER_SECOND),
+                atSeconds >= e.warmupSeconds(),
                 prompt,
                 streamed,
                 keyed ? e.name() + "-" + System.nanoTime() + "-" + number : null,
                 priority);
     }
 
-    private static String prefix(LoadExperiment e, int i) {
+    private static String createPrefix(LoadExperiment e, int i) {
         StringBuilder out = new StringBuilder("p" + i);
         while (out.length() < e.prefixChars()) {
             out.append(" prefix ").append(i);
--- a/load/src/main/java/org/hallwall/load/LoadDirect.java
+++ b/load/src/main/java/org/hallwall/load/DirectLoadClient.java
@@ -33,17 +33,17 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.client.HttpClient;
 
-/** Sends the requests of an experiment straight to the first members of groups, for comparison. */
-final class LoadDirect {
+/** Sends the requests of an experiment directly to the group heads, as a baseline without entries. */
+final class DirectLoadClient {
 
     private final LoadExperiment experiment;
     private final EngineClient engines = new EngineClient();
     private final List<Head> heads = new ArrayList<>();
 
-    LoadDirect(LoadExperiment experiment) {
+    DirectLoadClient(LoadExperiment experiment) {
         this.experiment = experiment;
         for (NetAddress a : experiment.engines()) {
-            GroupMembership m = membership(a);
+            GroupMembership m = fetchMembership(a);
             if (m != null) {
                 heads.add(new Head(a, m));
             }
@@ -51,7 +51,7 @@
     }
 
     Mono<LoadOutcome> send(LoadRequest r, long startNanos) {
-        long due = startNanos + r.atNanos();
+        long due = startNanos + r.dueNanos();
         Head head = heads.get(r.number() % heads.size());
         EngineRun run = new EngineRun(
                 new AttemptId(UUID.randomUUID().toString()),
@@ -78,8 +78,8 @@
         return new LoadOutcome(r, kind, null, first, System.nanoTime() - due, List.of(), false);
     }
 
-    /** Only the first member of a group takes runs. */
-    private static GroupMembership membership(NetAddress a) {
+    /** Returns the membership if the engine is the head of its group, and null otherwise: only heads accept runs. */
+    private static GroupMembership fetchMembership(NetAddress a) {
         String text = HttpClient.create()
                 .get()
                 .uri("http://" + a + EnginePaths.MEMBERSHIP)
@@ -94,12 +94,12 @@
                     && m.membership().members().get(0).value().equals(self);
             return head ? m.membership() : null;
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("an engine gave a malformed answer", e);
+            throw new IllegalStateException("malformed membership response from an engine", e);
         }
     }
 
     private record Head(NetAddress address, GroupMembership membership) {}
 
-    /** The answer of an engine. */
+    /** Membership response of an engine. */
     record Member(GroupMembership membership) {}
 }
--- a/load/src/main/java/org/hallwall/load/LoadCaller.java
+++ b/load/src/main/java/org/hallwall/load/LoadClient.java
@@ -35,16 +35,16 @@
 import reactor.netty.http.client.HttpClientResponse;
 import reactor.netty.resources.ConnectionProvider;
 
-/** Sends the requests of an experiment to entries and judges the answers. */
-final class LoadCaller {
+/** Sends the requests of an experiment to the entries and classifies the responses. */
+final class LoadClient {
 
     private static final int MAX_CONNECTIONS = 4_000;
-    private static final Duration SLACK = Duration.ofSeconds(5);
+    private static final Duration TIMEOUT_MARGIN = Duration.ofSeconds(5);
 
     private final LoadExperiment experiment;
     private final HttpClient http;
 
-    LoadCaller(LoadExperiment experiment) {
+    LoadClient(LoadExperiment experiment) {
         this.experiment = experiment;
         this.http = HttpClient.create(ConnectionProvider.builder("load")
                         .maxConnections(MAX_CONNECTIONS)
@@ -58,7 +58,7 @@
     Mono<LoadOutcome> send(LoadRequest r, long startNanos) {
         NetAddress entry =
                 experiment.entries().get(r.number() % experiment.entries().size());
-        Reading reading = new Reading(r, startNanos + r.atNanos());
+        ResponseReader reading = new ResponseReader(r, startNanos + r.dueNanos());
         return http.headers(h -> {
                     h.set("Hallwall-Priority", r.priority());
                     if (r.idempotencyKey() != null) {
@@ -69,10 +69,10 @@
                 .uri("http://" + entry + "/v1/chat/completions")
                 .send(Mono.fromSupplier(() -> Unpooled.wrappedBuffer(body(r))))
                 .response((res, bytes) ->
-                        bytes.asString().doOnNext(reading::take).then(Mono.fromSupplier(() -> reading.outcome(res))))
+                        bytes.asString().doOnNext(reading::append).then(Mono.fromSupplier(() -> reading.outcome(res))))
                 .next()
-                .timeout(Duration.ofMillis(experiment.deadlineMillis()).plus(SLACK))
-                .onErrorResume(e -> Mono.just(reading.broken(e)));
+                .timeout(Duration.ofMillis(experiment.deadlineMillis()).plus(TIMEOUT_MARGIN))
+                .onErrorResume(e -> Mono.just(reading.failure(e)));
     }
 
     private byte[] body(LoadRequest r) {
@@ -82,62 +82,63 @@
         return body.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Reads one answer. */
-    private final class Reading {
+    /** Reads one response. */
+    private final class ResponseReader {
 
         private final LoadRequest request;
         private final long dueNanos;
         private final StringBuilder text = new StringBuilder();
         private final List<Long> gaps = new ArrayList<>();
-        private long firstAt;
-        private long lastAt;
+        private long firstNanos;
+        private long lastNanos;
 
-        Reading(LoadRequest request, long dueNanos) {
+        ResponseReader(LoadRequest request, long dueNanos) {
             this.request = request;
             this.dueNanos = dueNanos;
         }
 
-        void take(String part) {
+        void append(String chunk) {
             long now = System.nanoTime();
-            if (firstAt == 0) {
-                firstAt = now;
+            if (firstNanos == 0) {
+                firstNanos = now;
             } else {
-                gaps.add(now - lastAt);
+                gaps.add(now - lastNanos);
             }
-            lastAt = now;
-            text.append(part);
+            lastNanos = now;
+            text.append(chunk);
         }
 
         LoadOutcome outcome(HttpClientResponse res) {
             if (res.status().code() != 200) {
-                return refused(text.toString(), res.responseHeaders().contains("Retry-After"));
+                return refusal(text.toString(), res.responseHeaders().contains("Retry-After"));
             }
             int error = text.indexOf("event: error\ndata: ");
             if (error >= 0) {
-                return refused(text.substring(error + "event: error\ndata: ".length()), false);
+                return refusal(text.substring(error + "event: error\ndata: ".length()), false);
             }
-            return made(isWhole() ? LoadOutcome.WHOLE : LoadOutcome.WRONG, null, false);
+            return createOutcome(isComplete() ? LoadOutcome.WHOLE : LoadOutcome.WRONG, null, false);
         }
 
-        LoadOutcome broken(Throwable e) {
-            return made("broken " + e.getClass().getSimpleName(), null, false);
+        LoadOutcome failure(Throwable e) {
+            return createOutcome("broken " + e.getClass().getSimpleName(), null, false);
         }
 
-        private LoadOutcome refused(String problem, boolean retryAfter) {
+        private LoadOutcome refusal(String problem, boolean retryAfter) {
             try {
                 JsonNode p = Json.MAPPER.readTree(problem);
-                return made(p.path("type").asText("?"), p.path("verdict").asText("?"), retryAfter);
+                return createOutcome(
+                        p.path("type").asText("?"), p.path("verdict").asText("?"), retryAfter);
             } catch (JsonProcessingException e) {
-                return made("refused", "?", retryAfter);
+                return createOutcome("refused", "?", retryAfter);
             }
         }
 
-        private LoadOutcome made(String kind, String verdict, boolean retryAfter) {
-            long first = firstAt == 0 ? 0 : firstAt - dueNanos;
+        private LoadOutcome createOutcome(String kind, String verdict, boolean retryAfter) {
+            long first = firstNanos == 0 ? 0 : firstNanos - dueNanos;
             return new LoadOutcome(request, kind, verdict, first, System.nanoTime() - dueNanos, gaps, retryAfter);
         }
 
-        private boolean isWhole() {
+        private boolean isComplete() {
             String expected = FakeAnswer.whole("user: " + request.prompt() + "\n", experiment.tokens());
             try {
                 return expected.equals(request.streamed() ? streamedText() : plainText());
--- a/load/src/main/java/org/hallwall/load/LoadExperiment.java
+++ b/load/src/main/java/org/hallwall/load/LoadExperiment.java
@@ -25,27 +25,27 @@
 import org.hallwall.core.settings.NetAddress;
 
 /**
- * What an experiment loads and breaks. The processes are started outside of it.
+ * Settings of a load experiment: offered load and injected faults. The tested processes are started separately.
  *
- * @param name its name, used for the files of the report
- * @param entries where requests go, in turn
- * @param engines the stand-in engines, whose accounts the answers are checked against
- * @param direct whether requests go straight to the engines
- * @param key the workspace's key
- * @param model the model
- * @param requestsPerSecond the rate of arrivals, whatever the answers do
- * @param seconds how long requests arrive
- * @param warmupSeconds how long requests arrive before any is counted
- * @param seed the seed of all random choices
- * @param prefixes how many different beginnings the prompts have
- * @param prefixChars how long these beginnings are
- * @param tokens how many tokens each answer has
- * @param streamedShare the share of streamed requests
- * @param keyedShare the share of requests with an idempotency key, which are not repeatable
- * @param highShare the share of requests with high priority
- * @param lowShare the share of requests with low priority
- * @param deadlineMillis how long callers wait
- * @param faults what to break, and when
+ * @param name the name of the experiment and of its report files
+ * @param entries the entry addresses, used round-robin
+ * @param engines the fake engines whose records are checked for duplicate runs
+ * @param direct whether requests bypass the entries
+ * @param key the API key of the workspace
+ * @param model the requested model
+ * @param requestsPerSecond the arrival rate (open loop)
+ * @param seconds the duration of the measurement
+ * @param warmupSeconds the duration of the warm-up, whose requests are not counted
+ * @param seed the random seed
+ * @param prefixes the number of distinct prompt prefixes
+ * @param prefixChars the length of the prefixes
+ * @param tokens the number of output tokens per request
+ * @param streamedShare the fraction of streamed requests
+ * @param keyedShare the fraction of requests with an idempotency key, which are marked as not repeatable
+ * @param highShare the fraction of high-priority requests
+ * @param lowShare the fraction of low-priority requests
+ * @param deadlineMillis the deadline of requests
+ * @param faults the faults to inject
  */
 public record LoadExperiment(
         String name,
@@ -68,25 +68,25 @@
         Long deadlineMillis,
         List<Fault> faults) {
 
-    private static final int USUAL_TOKENS = 32;
-    private static final long USUAL_DEADLINE_MILLIS = 30_000;
+    private static final int DEFAULT_TOKENS = 32;
+    private static final long DEFAULT_DEADLINE_MILLIS = 30_000;
 
-    /** Fills in what the file leaves out. */
+    /** Applies defaults for missing settings. */
     public LoadExperiment {
         engines = engines == null ? List.of() : List.copyOf(engines);
         prefixes = prefixes == null ? 1 : prefixes;
-        tokens = tokens == null ? USUAL_TOKENS : tokens;
+        tokens = tokens == null ? DEFAULT_TOKENS : tokens;
         streamedShare = streamedShare == null ? 1 : streamedShare;
-        deadlineMillis = deadlineMillis == null ? USUAL_DEADLINE_MILLIS : deadlineMillis;
+        deadlineMillis = deadlineMillis == null ? DEFAULT_DEADLINE_MILLIS : deadlineMillis;
         faults = faults == null ? List.of() : List.copyOf(faults);
     }
 
     /**
-     * A fault.
+     * A fault to inject.
      *
-     * @param atMillis when it is switched, from the first counted arrival
-     * @param engine the stand-in engine
-     * @param change the fault switches to change
+     * @param atMillis the time of injection, relative to the end of the warm-up
+     * @param engine the fake engine
+     * @param change the faults to change, as for {@code /fake/faults}
      */
     public record Fault(
             long atMillis,
--- a/load/src/main/java/org/hallwall/load/LoadMain.java
+++ b/load/src/main/java/org/hallwall/load/LoadMain.java
@@ -36,7 +36,7 @@
 import org.hallwall.program.ProgramLogs;
 import org.hallwall.program.ProgramVersion;
 
-/** The program {@code hallwall-load}. */
+/** Command-line entry point of {@code hallwall-load}. */
 public final class LoadMain {
 
     private static final SettingsSchema SCHEMA = SettingsSchema.load(LoadMain.class, "experiment.schema.json");
@@ -54,10 +54,10 @@
     }
 
     /**
-     * Runs the program with the given streams.
+     * Runs the program with the given output streams.
      *
-     * @param out where answers go
-     * @param err where faults go
+     * @param out receives reports
+     * @param err receives error messages
      * @param args the command line
      * @return the exit code
      */
@@ -87,7 +87,7 @@
             return ExitCode.SUCCESS;
         }
         if (line.hasOption("policies")) {
-            out.print(new PolicyTable(Integer.parseInt(line.getOptionValue("policies"))).text());
+            out.print(new RepairPolicyTable(Integer.parseInt(line.getOptionValue("policies"))).text());
             return ExitCode.SUCCESS;
         }
         if (!line.hasOption("settings")) {
--- a/load/src/main/java/org/hallwall/load/LoadOutcome.java
+++ b/load/src/main/java/org/hallwall/load/LoadOutcome.java
@@ -21,24 +21,24 @@
 import java.util.List;
 
 /**
- * What became of a request.
+ * The outcome of a request.
  *
  * @param request the request
- * @param kind {@code whole}, {@code wrong} or the type of the refusal
+ * @param kind {@code whole}, {@code wrong} or the type of the failure
  * @param verdict the verdict of a refusal; null otherwise
- * @param firstTokenNanos from the time it was due to its first token; zero if none came
- * @param wholeNanos from the time it was due to its end
- * @param gapsNanos the gaps between batches of tokens
- * @param retryAfter whether a refusal says when to retry
+ * @param firstTokenNanos the time from its scheduled arrival to the first token; zero if there was none
+ * @param totalNanos the time from its scheduled arrival to the end of the response
+ * @param gapsNanos the times between consecutive chunks
+ * @param hasRetryAfter whether a refusal has a {@code Retry-After} header
  */
 record LoadOutcome(
         LoadRequest request,
         String kind,
         String verdict,
         long firstTokenNanos,
-        long wholeNanos,
+        long totalNanos,
         List<Long> gapsNanos,
-        boolean retryAfter) {
+        boolean hasRetryAfter) {
 
     static final String WHOLE = "whole";
     static final String WRONG = "wrong";
--- a/load/src/main/java/org/hallwall/load/LoadReport.java
+++ b/load/src/main/java/org/hallwall/load/LoadReport.java
@@ -35,7 +35,7 @@
 import org.knowm.xchart.XYSeries;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Writes the report of an experiment: text, JSON and a plot over time with the faults marked. */
+/** Writes the report of an experiment as text, JSON and an SVG plot over time with the injected faults. */
 final class LoadReport {
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -52,15 +52,16 @@
     String text() {
         LoadResult.Summary s = result.summary();
         StringBuilder out = new StringBuilder();
-        line(out, "experiment %s: %.0f requests/s, %d counted", s.name(), s.requestsPerSecond(), s.requests());
-        line(out, "  whole and own %d, open %d, ran twice against their mark %d", s.whole(), s.open(), s.ranTwice());
+        appendLine(out, "experiment %s: %.0f requests/s, %d counted", s.name(), s.requestsPerSecond(), s.requests());
+        appendLine(
+                out, "  whole and own %d, open %d, ran twice against their mark %d", s.whole(), s.open(), s.ranTwice());
         for (Map.Entry<String, Integer> e : s.outcomes().entrySet()) {
-            line(out, "  %-40s %8d", e.getKey(), e.getValue());
+            appendLine(out, "  %-40s %8d", e.getKey(), e.getValue());
         }
-        line(out, "  %-14s %10s %10s %10s %10s", "milliseconds", "p50", "p95", "p99", "max");
-        percentiles(out, "first token", s.firstTokenMillis());
-        percentiles(out, "gap", s.gapMillis());
-        percentiles(out, "whole", s.wholeMillis());
+        appendLine(out, "  %-14s %10s %10s %10s %10s", "milliseconds", "p50", "p95", "p99", "max");
+        appendPercentiles(out, "first token", s.firstTokenMillis());
+        appendPercentiles(out, "gap", s.gapMillis());
+        appendPercentiles(out, "whole", s.wholeMillis());
         return out.toString();
     }
 
@@ -70,11 +71,11 @@
         Files.writeString(folder.resolve(name + ".txt"), text());
         Files.writeString(folder.resolve(name + ".json"), Json.PRETTY.writeValueAsString(result.summary()) + "\n");
         try (OutputStream out = Files.newOutputStream(folder.resolve(name + ".svg"))) {
-            VectorGraphicsEncoder.saveVectorGraphic(chart(), out, VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
+            VectorGraphicsEncoder.saveVectorGraphic(createChart(), out, VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
         }
     }
 
-    private XYChart chart() {
+    private XYChart createChart() {
         XYChart chart = new XYChartBuilder()
                 .width(WIDTH)
                 .height(HEIGHT)
@@ -95,8 +96,8 @@
         List<Double> y = new ArrayList<>();
         for (LoadOutcome o : result.outcomes()) {
             if (o.kind().equals(LoadOutcome.WHOLE) == whole) {
-                x.add(o.request().atNanos() / NANOS_PER_SECOND);
-                y.add((whole ? o.firstTokenNanos() : o.wholeNanos()) / NANOS_PER_MILLI);
+                x.add(o.request().dueNanos() / NANOS_PER_SECOND);
+                y.add((whole ? o.firstTokenNanos() : o.totalNanos()) / NANOS_PER_MILLI);
             }
         }
         if (!x.isEmpty()) {
@@ -115,11 +116,11 @@
         }
     }
 
-    private static void percentiles(StringBuilder out, String name, LoadResult.Percentiles p) {
-        line(out, "  %-14s %10.2f %10.2f %10.2f %10.2f", name, p.p50(), p.p95(), p.p99(), p.max());
+    private static void appendPercentiles(StringBuilder out, String name, LoadResult.Percentiles p) {
+        appendLine(out, "  %-14s %10.2f %10.2f %10.2f %10.2f", name, p.p50(), p.p95(), p.p99(), p.max());
     }
 
-    private static void line(StringBuilder out, String format, Object... args) {
+    private static void appendLine(StringBuilder out, String format, Object... args) {
         out.append(String.format(Locale.ROOT, format, args)).append('\n');
     }
 }
--- a/load/src/main/java/org/hallwall/load/LoadRequest.java
+++ b/load/src/main/java/org/hallwall/load/LoadRequest.java
@@ -19,19 +19,19 @@
 package org.hallwall.load;
 
 /**
- * One request of an experiment.
+ * A request of an experiment.
  *
- * @param number its number
- * @param atNanos when it is due, from the start
- * @param counted whether it counts, or only warms up
- * @param prompt its prompt
- * @param streamed whether its answer is streamed
- * @param idempotencyKey its key; null if none
- * @param priority its priority
+ * @param number the sequence number
+ * @param dueNanos the scheduled arrival, relative to the start
+ * @param counted whether the request is counted, as opposed to part of the warm-up
+ * @param prompt the prompt
+ * @param streamed whether the response is streamed
+ * @param idempotencyKey the idempotency key; null if none
+ * @param priority the priority
  */
 record LoadRequest(
         int number,
-        long atNanos,
+        long dueNanos,
         boolean counted,
         String prompt,
         boolean streamed,
--- a/load/src/main/java/org/hallwall/load/LoadResult.java
+++ b/load/src/main/java/org/hallwall/load/LoadResult.java
@@ -25,19 +25,19 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The outcomes of an experiment.
+ * The result of an experiment.
  *
  * @param experiment the experiment
  * @param outcomes the counted outcomes
- * @param open the requests without an outcome
- * @param ranTwice the requests that may run at most once and ran more than once, by the engines' accounts
+ * @param unfinished the number of requests without an outcome
+ * @param duplicateRuns the number of non-repeatable requests that the engines ran more than once
  */
-record LoadResult(LoadExperiment experiment, List<LoadOutcome> outcomes, int open, int ranTwice) {
+record LoadResult(LoadExperiment experiment, List<LoadOutcome> outcomes, int unfinished, int duplicateRuns) {
 
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final double NANOS_PER_MILLI = 1e6;
 
-    Map<String, Integer> counts() {
+    Map<String, Integer> countsByOutcome() {
         Map<String, Integer> out = new TreeMap<>();
         for (LoadOutcome o : outcomes) {
             String name = o.verdict() == null ? o.kind() : o.kind() + " " + o.verdict();
@@ -47,15 +47,15 @@
     }
 
     Summary summary() {
-        Histogram first = new Histogram(DIGITS);
-        Histogram gaps = new Histogram(DIGITS);
-        Histogram whole = new Histogram(DIGITS);
+        Histogram first = new Histogram(SIGNIFICANT_DIGITS);
+        Histogram gaps = new Histogram(SIGNIFICANT_DIGITS);
+        Histogram whole = new Histogram(SIGNIFICANT_DIGITS);
         int answered = 0;
         for (LoadOutcome o : outcomes) {
             if (o.kind().equals(LoadOutcome.WHOLE)) {
                 answered++;
                 first.recordValue(o.firstTokenNanos());
-                whole.recordValue(o.wholeNanos());
+                whole.recordValue(o.totalNanos());
                 o.gapsNanos().forEach(gaps::recordValue);
             }
         }
@@ -64,27 +64,27 @@
                 experiment.requestsPerSecond(),
                 outcomes.size(),
                 answered,
-                open,
-                ranTwice,
-                counts(),
+                unfinished,
+                duplicateRuns,
+                countsByOutcome(),
                 Percentiles.of(first),
                 Percentiles.of(gaps),
                 Percentiles.of(whole));
     }
 
     /**
-     * The figures of a report.
+     * The summary of a report.
      *
      * @param name the name of the experiment
-     * @param requestsPerSecond the rate of arrivals
-     * @param requests the counted requests
-     * @param whole those answered whole and with their own answer
-     * @param open those without an outcome
-     * @param ranTwice those that ran more often than they may
-     * @param outcomes how many of each outcome
-     * @param firstTokenMillis from when a request was due to its first token
-     * @param gapMillis between batches of tokens
-     * @param wholeMillis from when a request was due to its end
+     * @param requestsPerSecond the arrival rate
+     * @param requests the number of counted requests
+     * @param whole the number of complete and correct responses
+     * @param open the number of requests without an outcome
+     * @param ranTwice the number of non-repeatable requests that ran more than once
+     * @param outcomes the number of requests by outcome
+     * @param firstTokenMillis time to first token, from the scheduled arrival
+     * @param gapMillis time between chunks
+     * @param wholeMillis total response time, from the scheduled arrival
      */
     record Summary(
             String name,
@@ -102,17 +102,18 @@
      * The percentiles of a histogram.
      *
      * @param p50 the median
-     * @param p95 the 95th
-     * @param p99 the 99th
-     * @param max the highest value
+     * @param p95 the 95th percentile
+     * @param p99 the 99th percentile
+     * @param max the maximum
      */
     record Percentiles(double p50, double p95, double p99, double max) {
 
         static Percentiles of(Histogram h) {
-            return new Percentiles(at(h, 50), at(h, 95), at(h, 99), h.getMaxValue() / NANOS_PER_MILLI);
+            return new Percentiles(
+                    millisAt(h, 50), millisAt(h, 95), millisAt(h, 99), h.getMaxValue() / NANOS_PER_MILLI);
         }
 
-        private static double at(Histogram h, double percentile) {
+        private static double millisAt(Histogram h, double percentile) {
             return Math.round(h.getValueAtPercentile(percentile) / NANOS_PER_MILLI * 100) / 100.0;
         }
     }
--- a/load/src/main/java/org/hallwall/load/LoadRun.java
+++ b/load/src/main/java/org/hallwall/load/LoadRun.java
@@ -41,11 +41,11 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.client.HttpClient;
 
-/** Runs an experiment: sends each request when it is due, whatever the answers do, and switches the faults. */
+/** Runs an experiment with open-loop load: sends each request at its scheduled time and injects the faults. */
 final class LoadRun {
 
     private static final Logger LOG = Logger.getLogger(LoadRun.class);
-    private static final Duration GRACE = Duration.ofSeconds(10);
+    private static final Duration GRACE_PERIOD = Duration.ofSeconds(10);
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final LoadExperiment experiment;
@@ -56,20 +56,20 @@
     }
 
     LoadResult run() throws InterruptedException {
-        List<LoadRequest> requests = LoadArrivals.draw(experiment);
+        List<LoadRequest> requests = ArrivalGenerator.generate(experiment);
         BiFunction<LoadRequest, Long, Mono<LoadOutcome>> sender = sender();
         CountDownLatch open = new CountDownLatch(requests.size());
         long start = System.nanoTime();
-        Thread faults = new Thread(() -> switchFaults(start), "faults");
+        Thread faults = new Thread(() -> injectFaults(start), "faults");
         faults.setDaemon(true);
         faults.start();
         for (LoadRequest r : requests) {
-            awaitDue(start + r.atNanos());
+            parkUntil(start + r.dueNanos());
             sender.apply(r, start).doFinally(end -> open.countDown()).subscribe(outcomes::add);
         }
-        long most = experiment.deadlineMillis() + GRACE.toMillis();
-        if (!open.await(most, TimeUnit.MILLISECONDS)) {
-            LOG.warnf("load: %d requests have no outcome", open.getCount());
+        long timeoutMillis = experiment.deadlineMillis() + GRACE_PERIOD.toMillis();
+        if (!open.await(timeoutMillis, TimeUnit.MILLISECONDS)) {
+            LOG.warnf("load: %d requests did not complete", open.getCount());
         }
         List<LoadOutcome> counted = new ArrayList<>();
         for (LoadOutcome o : outcomes) {
@@ -77,19 +77,19 @@
                 counted.add(o);
             }
         }
-        return new LoadResult(experiment, counted, (int) open.getCount(), runsTwice(requests));
+        return new LoadResult(experiment, counted, (int) open.getCount(), countDuplicateRuns(requests));
     }
 
     private BiFunction<LoadRequest, Long, Mono<LoadOutcome>> sender() {
         if (experiment.direct()) {
-            LoadDirect direct = new LoadDirect(experiment);
+            DirectLoadClient direct = new DirectLoadClient(experiment);
             return direct::send;
         }
-        LoadCaller caller = new LoadCaller(experiment);
+        LoadClient caller = new LoadClient(experiment);
         return caller::send;
     }
 
-    private static void awaitDue(long due) {
+    private static void parkUntil(long due) {
         long left = due - System.nanoTime();
         while (left > 0) {
             LockSupport.parkNanos(left);
@@ -97,37 +97,37 @@
         }
     }
 
-    private void switchFaults(long start) {
+    private void injectFaults(long start) {
         for (LoadExperiment.Fault f : experiment.faults()) {
-            awaitDue(start + (long) ((experiment.warmupSeconds() + f.atMillis() / 1e3) * NANOS_PER_SECOND));
-            LOG.infof("load: switches %s at %s", f.change(), f.engine());
+            parkUntil(start + (long) ((experiment.warmupSeconds() + f.atMillis() / 1e3) * NANOS_PER_SECOND));
+            LOG.infof("load: injecting %s into %s", f.change(), f.engine());
             HttpClient.create()
                     .post()
                     .uri("http://" + f.engine() + "/fake/faults")
                     .send(Mono.fromSupplier(
                             () -> Unpooled.wrappedBuffer(f.change().toString().getBytes(StandardCharsets.UTF_8))))
                     .response()
-                    .block(GRACE);
+                    .block(GRACE_PERIOD);
         }
     }
 
-    /** Counts the requests that may run at most once and that the engines' accounts show more than once. */
-    private int runsTwice(List<LoadRequest> requests) {
+    /** Counts the non-repeatable requests that the engines recorded more than once. */
+    private int countDuplicateRuns(List<LoadRequest> requests) {
         Map<String, Integer> runs = new HashMap<>();
         for (NetAddress a : experiment.engines()) {
-            for (FakeAccount.RunRecord r : account(a).runs()) {
+            for (FakeAccount.RunRecord r : fetchAccount(a).runs()) {
                 runs.merge(r.promptHash(), 1, Integer::sum);
             }
         }
-        int twice = 0;
+        int duplicates = 0;
         for (LoadRequest r : requests) {
             String hash = FakeAnswer.hash("user: " + r.prompt() + "\n");
-            twice += r.idempotencyKey() != null && runs.getOrDefault(hash, 0) > 1 ? 1 : 0;
+            duplicates += r.idempotencyKey() != null && runs.getOrDefault(hash, 0) > 1 ? 1 : 0;
         }
-        return twice;
+        return duplicates;
     }
 
-    private static FakeAccount.Copy account(NetAddress a) {
+    private static FakeAccount.Copy fetchAccount(NetAddress a) {
         String text = HttpClient.create()
                 .get()
                 .uri("http://" + a + "/fake/account")
@@ -135,11 +135,11 @@
                 .aggregate()
                 .asString()
                 .onErrorReturn("{\"runs\":[],\"groups\":[],\"calls\":[]}")
-                .block(GRACE);
+                .block(GRACE_PERIOD);
         try {
             return Json.MAPPER.readValue(text, FakeAccount.Copy.class);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("an engine gave a malformed account", e);
+            throw new IllegalStateException("malformed run records from an engine", e);
         }
     }
 }
--- a/load/src/main/java/org/hallwall/load/PolicySchedule.java
+++ b/load/src/main/java/org/hallwall/load/RepairPolicySimulation.java
@@ -47,165 +47,166 @@
 import org.hallwall.resource.RepairPolicy;
 
 /**
- * One seeded schedule of failures, met by the planner with one repair policy. The failures depend on the seed only, so
- * that policies are compared on the same ones.
+ * Simulates the group planner with one repair policy under a random sequence of failures. The failures depend only on
+ * the seed, so that policies can be compared on identical failures.
  */
-final class PolicySchedule {
+final class RepairPolicySimulation {
 
-    private static final int FABRICS = 5;
-    private static final int TARGETS_A_FABRIC = 9;
+    private static final int FABRIC_DOMAINS = 5;
+    private static final int TARGETS_PER_DOMAIN = 9;
     private static final int GROUP_SIZE = 4;
     private static final int REPLICAS = 10;
-    private static final long MINUTES = 60_000;
+    private static final long MINUTE_MILLIS = 60_000;
     private static final long STEP_MILLIS = 1_000;
-    private static final long LENGTH_MILLIS = 240 * MINUTES;
+    private static final long DURATION_MILLIS = 240 * MINUTE_MILLIS;
     private static final long LOAD_MILLIS = 90_000;
-    private static final int LOADS_AT_ONCE = 2;
+    private static final int MAX_CONCURRENT_LOADS = 2;
     private static final String VERSION = "1";
     private static final ModelGroupId MODEL_GROUP = new ModelGroupId("m");
 
     private final Random random;
-    private final Map<InstanceId, PolicyTarget> targets = new TreeMap<>();
-    private final Map<InstanceId, GroupId> ordered = new HashMap<>();
-    private final Map<InstanceId, Long> orderedUntil = new HashMap<>();
+    private final Map<InstanceId, SimulatedTarget> targets = new TreeMap<>();
+    private final Map<InstanceId, GroupId> pendingGroups = new HashMap<>();
+    private final Map<InstanceId, Long> pendingUntilMillis = new HashMap<>();
     private final GroupPlanner planner = new GroupPlanner(DomainTiming.DEFAULT);
     private final RepairPolicy policy;
-    private final WantedGroup wanted;
-    private final long[] storeFreeAt = new long[LOADS_AT_ONCE];
+    private final WantedGroup desiredGroup;
+    private final long[] slotFreeMillis = new long[MAX_CONCURRENT_LOADS];
     private long fencing;
     private double downtimeSeconds;
     private double strandedSeconds;
 
-    PolicySchedule(long seed, RepairPolicy policy) {
+    RepairPolicySimulation(long seed, RepairPolicy policy) {
         random = new Random(seed);
         this.policy = policy;
         ModelGroupSpec spec = new ModelGroupSpec("m", VERSION, null, GROUP_SIZE, REPLICAS, null, policy, 1);
-        wanted = new WantedGroup(MODEL_GROUP, 1, spec, REPLICAS);
-        for (int f = 0; f < FABRICS; f++) {
-            for (int t = 0; t < TARGETS_A_FABRIC; t++) {
+        desiredGroup = new WantedGroup(MODEL_GROUP, 1, spec, REPLICAS);
+        for (int f = 0; f < FABRIC_DOMAINS; f++) {
+            for (int t = 0; t < TARGETS_PER_DOMAIN; t++) {
                 InstanceId id = new InstanceId("f" + f + "-" + t);
-                targets.put(id, new PolicyTarget(id, new FabricDomainId("f" + f)));
+                targets.put(id, new SimulatedTarget(id, new FabricDomainId("f" + f)));
             }
         }
     }
 
-    PolicySchedule run() {
-        long nextFailure = 32 * MINUTES;
-        for (long now = STEP_MILLIS; now < LENGTH_MILLIS; now += STEP_MILLIS) {
+    RepairPolicySimulation run() {
+        long nextFailure = 32 * MINUTE_MILLIS;
+        for (long now = STEP_MILLIS; now < DURATION_MILLIS; now += STEP_MILLIS) {
             if (now >= nextFailure) {
-                failSomething(now);
-                nextFailure = now + 2 * MINUTES + (long) (random.nextDouble() * 16 * MINUTES);
+                injectFailure(now);
+                nextFailure = now + 2 * MINUTE_MILLIS + (long) (random.nextDouble() * 16 * MINUTE_MILLIS);
             }
             step(now);
-            if (now > 30 * MINUTES) {
-                measure(now);
+            if (now > 30 * MINUTE_MILLIS) {
+                recordMetrics(now);
             }
         }
         return this;
     }
 
-    /** The time that wanted groups could not serve, summed over groups. */
+    /** Downtime of desired groups, summed over groups. */
     double downtimeSeconds() {
         return downtimeSeconds;
     }
 
-    /** Healthy accelerators outside of serving groups, summed over time. */
+    /** Time of healthy accelerators outside of serving groups, summed over accelerators. */
     double strandedAcceleratorSeconds() {
         return strandedSeconds;
     }
 
-    /** Mostly single targets, sometimes a second one of the same group soon after, seldom a whole fabric domain. */
-    private void failSomething(long now) {
-        int dice = random.nextInt(20);
-        List<PolicyTarget> all = new ArrayList<>(targets.values());
-        PolicyTarget first = all.get(random.nextInt(all.size()));
-        long back = now + 2 * MINUTES + (long) (random.nextDouble() * 20 * MINUTES);
-        if (dice == 0) {
-            for (PolicyTarget t : all) {
-                if (t.fabric().equals(first.fabric())) {
-                    t.fail(now + 6 * MINUTES);
+    /** Fails one target in 75%, two neighbouring targets in 20% and a whole fabric domain in 5% of the cases. */
+    private void injectFailure(long now) {
+        int draw = random.nextInt(20);
+        List<SimulatedTarget> all = new ArrayList<>(targets.values());
+        SimulatedTarget first = all.get(random.nextInt(all.size()));
+        long recoveryMillis = now + 2 * MINUTE_MILLIS + (long) (random.nextDouble() * 20 * MINUTE_MILLIS);
+        if (draw == 0) {
+            for (SimulatedTarget t : all) {
+                if (t.fabricDomain().equals(first.fabricDomain())) {
+                    t.fail(now + 6 * MINUTE_MILLIS);
                 }
             }
-        } else if (dice < 5) {
-            first.fail(back);
-            all.get((all.indexOf(first) + 1) % all.size()).fail(back);
+        } else if (draw < 5) {
+            first.fail(recoveryMillis);
+            all.get((all.indexOf(first) + 1) % all.size()).fail(recoveryMillis);
         } else {
-            first.fail(back);
+            first.fail(recoveryMillis);
         }
     }
 
     private void step(long now) {
         List<KnownTarget> known = new ArrayList<>();
-        for (PolicyTarget t : targets.values()) {
+        for (SimulatedTarget t : targets.values()) {
             t.step(now);
-            known.add(t.known());
+            known.add(t.toKnownTarget());
         }
-        orderedUntil.entrySet().removeIf(e -> now >= e.getValue() && ordered.remove(e.getKey()) != null);
-        GroupPlanInput input = new GroupPlanInput(now, known, List.of(wanted), ordered, drained(known), LOADS_AT_ONCE);
+        pendingUntilMillis.entrySet().removeIf(e -> now >= e.getValue() && pendingGroups.remove(e.getKey()) != null);
+        GroupPlanInput input = new GroupPlanInput(
+                now, known, List.of(desiredGroup), pendingGroups, drainedGroups(known), MAX_CONCURRENT_LOADS);
         for (GroupStep s : planner.plan(input)) {
-            carryOut(now, s);
+            applyStep(now, s);
         }
     }
 
-    /** No requests run here, so a group is drained as soon as it is to be. */
-    private static Set<GroupId> drained(List<KnownTarget> known) {
+    /** Returns all groups: without requests, each group is drained at once. */
+    private static Set<GroupId> drainedGroups(List<KnownTarget> known) {
         return new HashSet<>(GroupViews.of(known).keySet());
     }
 
-    private void carryOut(long now, GroupStep step) {
+    private void applyStep(long now, GroupStep step) {
         fencing++;
         if (step instanceof GroupStep.Form f) {
             GroupId group = GroupNames.of(MODEL_GROUP, new FencingNumber(fencing));
             GroupMembership m = new GroupMembership(group, MODEL_GROUP, new FencingNumber(fencing), f.members(), false);
             for (InstanceId id : f.members()) {
                 if (targets.get(id).isUp(now)) {
-                    PolicyTarget t = targets.get(id);
-                    t.join(m, VERSION, t.holds(VERSION) ? now : reserveLoad(now));
+                    SimulatedTarget t = targets.get(id);
+                    t.join(m, VERSION, t.hasLoaded(VERSION) ? now : reserveLoad(now));
                 }
-                remember(now, id, group);
+                markPending(now, id, group);
             }
         } else if (step instanceof GroupStep.Dissolve d) {
             for (InstanceId id : d.members()) {
-                // The baseline restarts every engine of the group that it rebuilds.
+                // The baseline policy restarts all engines of a group that it rebuilds.
                 targets.get(id).leave(policy == RepairPolicy.REBUILD);
-                remember(now, id, d.group());
+                markPending(now, id, d.group());
             }
         }
     }
 
-    /** The weight store serves so many loads at once; the others wait. */
+    /** Reserves the next free slot of the weight store and returns the completion time. */
     private long reserveLoad(long now) {
-        Arrays.sort(storeFreeAt);
-        storeFreeAt[0] = Math.max(now, storeFreeAt[0]) + LOAD_MILLIS;
-        return storeFreeAt[0];
+        Arrays.sort(slotFreeMillis);
+        slotFreeMillis[0] = Math.max(now, slotFreeMillis[0]) + LOAD_MILLIS;
+        return slotFreeMillis[0];
     }
 
-    private void remember(long now, InstanceId id, GroupId group) {
-        ordered.put(id, group);
-        orderedUntil.put(id, now + 2 * STEP_MILLIS);
+    private void markPending(long now, InstanceId id, GroupId group) {
+        pendingGroups.put(id, group);
+        pendingUntilMillis.put(id, now + 2 * STEP_MILLIS);
     }
 
-    private void measure(long now) {
+    private void recordMetrics(long now) {
         List<KnownTarget> known = new ArrayList<>();
-        targets.values().forEach(t -> known.add(t.known()));
+        targets.values().forEach(t -> known.add(t.toKnownTarget()));
         Set<InstanceId> serving = new HashSet<>();
         int complete = 0;
         for (GroupView g : GroupViews.of(known).values()) {
-            if (g.isComplete(now, DomainTiming.DEFAULT.announceLease()) && allUp(g, now)) {
+            if (g.isComplete(now, DomainTiming.DEFAULT.announceLease()) && areAllUp(g, now)) {
                 complete++;
                 serving.addAll(g.membership().members());
             }
         }
         int stranded = 0;
-        for (PolicyTarget t : targets.values()) {
-            stranded += t.isUp(now) && !serving.contains(t.id()) ? PolicyTarget.ACCELERATORS : 0;
+        for (SimulatedTarget t : targets.values()) {
+            stranded += t.isUp(now) && !serving.contains(t.id()) ? SimulatedTarget.ACCELERATORS : 0;
         }
         double seconds = STEP_MILLIS / 1e3;
         downtimeSeconds += Math.max(0, REPLICAS - complete) * seconds;
         strandedSeconds += stranded * seconds;
     }
 
-    private boolean allUp(GroupView g, long now) {
+    private boolean areAllUp(GroupView g, long now) {
         for (InstanceId m : g.membership().members()) {
             if (!targets.get(m).isUp(now)) {
                 return false;
--- a/load/src/main/java/org/hallwall/load/PolicyTable.java
+++ b/load/src/main/java/org/hallwall/load/RepairPolicyTable.java
@@ -22,14 +22,14 @@
 
 import org.hallwall.resource.RepairPolicy;
 
-/** Compares the repair policies over seeded schedules of failures. */
-final class PolicyTable {
+/** Tabulates downtime and stranded capacity of the repair policies over simulated failures. */
+final class RepairPolicyTable {
 
     private static final double SECONDS_PER_HOUR = 3_600;
 
     private final int seeds;
 
-    PolicyTable(int seeds) {
+    RepairPolicyTable(int seeds) {
         this.seeds = seeds;
     }
 
@@ -41,7 +41,7 @@
             double downtime = 0;
             double stranded = 0;
             for (int seed = 0; seed < seeds; seed++) {
-                PolicySchedule s = new PolicySchedule(seed, p).run();
+                RepairPolicySimulation s = new RepairPolicySimulation(seed, p).run();
                 downtime += s.downtimeSeconds();
                 stranded += s.strandedAcceleratorSeconds();
             }
--- a/load/src/main/java/org/hallwall/load/PolicyTarget.java
+++ b/load/src/main/java/org/hallwall/load/SimulatedTarget.java
@@ -30,34 +30,34 @@
 import org.hallwall.engine.GroupMembership;
 import org.hallwall.engine.TargetLoad;
 
-/** A target in the comparison of policies: it dies, comes back empty, takes orders and loads weights. */
-final class PolicyTarget {
+/** A simulated target that fails, recovers without weights, joins and leaves groups and loads weights. */
+final class SimulatedTarget {
 
     static final int ACCELERATORS = 4;
     private static final FailureDomainId DOMAIN = new FailureDomainId("d");
     private static final NetAddress ADDRESS = new NetAddress("127.0.0.1", 1);
 
     private final InstanceId id;
-    private final FabricDomainId fabric;
+    private final FabricDomainId fabricDomain;
     private long downUntil;
-    private long heardAt;
+    private long lastAnnouncedMillis;
     private long sequence;
-    private GroupMembership joined;
-    private String held;
-    private String loading;
-    private long loadedAt;
+    private GroupMembership membership;
+    private String loadedVersion;
+    private String loadingVersion;
+    private long loadEndMillis;
 
-    PolicyTarget(InstanceId id, FabricDomainId fabric) {
+    SimulatedTarget(InstanceId id, FabricDomainId fabric) {
         this.id = id;
-        this.fabric = fabric;
+        this.fabricDomain = fabric;
     }
 
     InstanceId id() {
         return id;
     }
 
-    FabricDomainId fabric() {
-        return fabric;
+    FabricDomainId fabricDomain() {
+        return fabricDomain;
     }
 
     boolean isUp(long now) {
@@ -66,72 +66,76 @@
 
     void fail(long until) {
         downUntil = Math.max(downUntil, until);
-        joined = null;
-        held = null;
-        loading = null;
+        membership = null;
+        loadedVersion = null;
+        loadingVersion = null;
     }
 
     void join(GroupMembership m, String version, long ready) {
-        joined = m;
-        boolean has = version.equals(held);
-        loading = has ? null : version;
-        held = has ? held : null;
-        loadedAt = ready;
+        membership = m;
+        boolean isLoaded = version.equals(loadedVersion);
+        loadingVersion = isLoaded ? null : version;
+        loadedVersion = isLoaded ? loadedVersion : null;
+        loadEndMillis = ready;
     }
 
     /**
-     * Leaves its group.
+     * Leaves the group.
      *
-     * @param restarts whether the engine restarts with it and forgets its weights
+     * @param restarts whether the engine restarts and loses its weights
      */
     void leave(boolean restarts) {
-        joined = null;
-        held = restarts ? null : held;
-        loading = restarts ? null : loading;
+        membership = null;
+        loadedVersion = restarts ? null : loadedVersion;
+        loadingVersion = restarts ? null : loadingVersion;
     }
 
-    boolean holds(String version) {
-        return version.equals(held);
+    boolean hasLoaded(String version) {
+        return version.equals(loadedVersion);
     }
 
-    GroupMembership joined() {
-        return joined;
+    GroupMembership membership() {
+        return membership;
     }
 
     void step(long now) {
-        if (loading != null && now >= loadedAt) {
-            held = loading;
-            loading = null;
+        if (loadingVersion != null && now >= loadEndMillis) {
+            loadedVersion = loadingVersion;
+            loadingVersion = null;
         }
         if (isUp(now)) {
-            heardAt = now;
+            lastAnnouncedMillis = now;
             sequence++;
         }
     }
 
-    KnownTarget known() {
-        GroupMembership m = joined == null
+    KnownTarget toKnownTarget() {
+        GroupMembership m = membership == null
                 ? null
                 : new GroupMembership(
-                        joined.group(), joined.modelGroup(), joined.fencing(), joined.members(), loading == null);
+                        membership.group(),
+                        membership.modelGroup(),
+                        membership.fencing(),
+                        membership.members(),
+                        loadingVersion == null);
         Announcement a = new Announcement(
                 id,
                 "boot",
                 sequence,
                 DOMAIN,
-                fabric,
+                fabricDomain,
                 ACCELERATORS,
                 ADDRESS,
                 true,
                 null,
                 m,
                 FencingNumber.NONE,
-                held == null ? null : "m",
-                held,
+                loadedVersion == null ? null : "m",
+                loadedVersion,
                 List.of(),
                 m == null ? null : "BOTH",
                 TargetLoad.NONE,
                 false);
-        return new KnownTarget(a, heardAt);
+        return new KnownTarget(a, lastAnnouncedMillis);
     }
 }
--- a/load/src/main/java/org/hallwall/load/package-info.java
+++ b/load/src/main/java/org/hallwall/load/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** The load and experiment tool {@code hallwall-load}. */
+/** The load generator {@code hallwall-load} and the simulation of repair policies. */
 package org.hallwall.load;
