--- a/simulation/src/main/java/org/hallwall/simulation/EnginePace.java
+++ b/simulation/src/main/java/org/hallwall/simulation/EngineTiming.java
@@ -19,11 +19,12 @@
 package org.hallwall.simulation;
 
 /**
- * How fast a group steps; a model's own pace multiplies all times.
+ * Timing of one inference step of a group, before scaling by the model's pace.
  *
- * @param stepMillis the time of a step, in milliseconds
- * @param sequenceMillis what each writing stream adds to it, in milliseconds
- * @param tokensReadPerMilli how many tokens of prompts are read in a millisecond
- * @param chunkTokens how many tokens of prompts are read in a step at most
+ * @param stepMillis the base duration of a step, in milliseconds
+ * @param perSequenceMillis the additional duration per decoding stream, in milliseconds
+ * @param prefillTokensPerMilli the prefill throughput, in tokens per millisecond
+ * @param prefillChunkTokens the maximum number of prefill tokens per step
  */
-public record EnginePace(double stepMillis, double sequenceMillis, double tokensReadPerMilli, int chunkTokens) {}
+public record EngineTiming(
+        double stepMillis, double perSequenceMillis, double prefillTokensPerMilli, int prefillChunkTokens) {}
--- a/simulation/src/main/java/org/hallwall/simulation/DayResult.java
+++ b/simulation/src/main/java/org/hallwall/simulation/SimulationResult.java
@@ -21,12 +21,13 @@
 import java.util.Map;
 
 /**
- * What became of a simulated day.
+ * The outcome of a simulation run.
  *
- * @param worth the worth earned, in parts of what was asked for
- * @param refused the streams that were refused in the end, in parts of all
- * @param late those that were late, in parts of all
- * @param byKind the worth earned by kind, in parts of what was asked for
- * @param loads the loads from the store after callers came
+ * @param worth the earned worth as a fraction of the offered worth
+ * @param refusedFraction the fraction of streams that were refused after retries
+ * @param lateFraction the fraction of streams that missed a latency objective
+ * @param worthByClass the earned fraction of the offered worth by request class
+ * @param loads the number of weight loads after the warm-up
  */
-public record DayResult(double worth, double refused, double late, Map<String, Double> byKind, int loads) {}
+public record SimulationResult(
+        double worth, double refusedFraction, double lateFraction, Map<String, Double> worthByClass, int loads) {}
