--- a/entry/src/main/java/org/hallwall/entry/relay/RunAttempt.java
+++ b/entry/src/main/java/org/hallwall/entry/relay/RunAttempt.java
@@ -72,8 +72,8 @@
                 .onErrorMap(
                         EngineException.class,
                         e -> new AttemptException(assignment.group(), e.verdict(), gate.next() > 0, e.getMessage()))
-                .doOnComplete(() -> assignment.end(false))
-                .doOnError(e -> assignment.end(true))
+                .doOnComplete(() -> assignment.release(false))
+                .doOnError(e -> assignment.release(true))
                 .doOnCancel(this::abandon);
     }
 
@@ -89,7 +89,7 @@
     }
 
     private Flux<List<RunFrame>> follow(Flux<List<RunFrame>> source, int resumes) {
-        return source.takeUntilOther(assignment.lost(exchange.isRepeatable() && gate.next() == 0))
+        return source.takeUntilOther(assignment.whenLost(exchange.isRepeatable() && gate.next() == 0))
                 .<List<RunFrame>>handle((batch, sink) -> {
                     try {
                         List<RunFrame> fresh = checked(gate.pass(batch));
@@ -124,7 +124,7 @@
         if (e.verdict() == Verdict.NOT_RUN && resumes == 0 && gate.next() == 0) {
             return Flux.error(e);
         }
-        if (resumes >= MOST_RESUMES || !assignment.isStillComplete()) {
+        if (resumes >= MOST_RESUMES || !assignment.isGroupComplete()) {
             return settle(e).flux();
         }
         LOG.debugf("relay: goes on with run %s at frame %d, %s", id, gate.next(), e.getMessage());
@@ -147,14 +147,14 @@
     private void note(List<RunFrame> frames) {
         if (frames.get(0).n() == 0) {
             long now = Ticker.SYSTEM.millis();
-            assignment.sawFirstToken(now - startedAt);
+            assignment.recordFirstToken(now - startedAt);
             counters.firstToken(now - exchange.receivedAt());
         }
     }
 
     /** The caller is gone or the deadline has passed: the run is of no use to anyone. */
     private void abandon() {
-        assignment.end(false);
+        assignment.release(false);
         if (!gate.hasEnded()) {
             engines.cancel(assignment.head(), id)
                     .subscribe(c -> {}, e -> LOG.debugf("relay: run %s was not cancelled", id));
--- a/entry/src/main/java/org/hallwall/entry/routing/Assignment.java
+++ b/entry/src/main/java/org/hallwall/entry/routing/Assignment.java
@@ -26,45 +26,45 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** A group that was chosen to run a request. It must be ended exactly once, however the run ends. */
+/** The assignment of a request to a group. Must be released when the run completes, fails or is cancelled. */
 public final class Assignment {
 
     private final GroupSlot slot;
     private final Dispatcher dispatcher;
     private final NetAddress head;
     private final FencingNumber fencing;
-    private final AtomicBoolean ended = new AtomicBoolean();
-    private final Sinks.Empty<Void> suspect = Sinks.empty();
-    private final Sinks.Empty<Void> lost = Sinks.empty();
+    private final AtomicBoolean released = new AtomicBoolean();
+    private final Sinks.Empty<Void> suspectSignal = Sinks.empty();
+    private final Sinks.Empty<Void> lostSignal = Sinks.empty();
 
     Assignment(GroupSlot slot, Dispatcher dispatcher) {
         this.slot = slot;
         this.dispatcher = dispatcher;
         this.head = slot.view().head().announcement().address();
         this.fencing = slot.view().membership().fencing();
-        slot.remember(this);
+        slot.addAssignment(this);
     }
 
     /**
-     * Gives the group.
+     * Returns the assigned group.
      *
-     * @return the group
+     * @return the id of the group
      */
     public GroupId group() {
         return slot.group();
     }
 
     /**
-     * Gives the group's fencing number.
+     * Returns the fencing number that the group had when it was assigned.
      *
-     * @return the number
+     * @return the fencing number
      */
     public FencingNumber fencing() {
         return fencing;
     }
 
     /**
-     * Gives the address of the first member.
+     * Returns the address of the head of the group.
      *
      * @return the address
      */
@@ -73,51 +73,51 @@
     }
 
     /**
-     * Says whether the group can still be expected to answer.
+     * Returns whether the group is complete according to the latest announcements.
      *
-     * @return true if it was complete at the last look
+     * @return true if it is complete
      */
-    public boolean isStillComplete() {
+    public boolean isGroupComplete() {
         return dispatcher.isComplete(slot);
     }
 
     /**
-     * Waits until the group is lost.
+     * Signals the loss of the group.
      *
-     * @param early whether its first long silence counts as a loss, or only one after which a member is replaced
-     * @return completes when the group is lost
+     * @param onSuspicion whether to signal as soon as the group is suspected, instead of when it is declared dead
+     * @return a Mono that completes when the group is lost
      */
-    public Mono<Void> lost(boolean early) {
-        return (early ? suspect : lost).asMono();
+    public Mono<Void> whenLost(boolean onSuspicion) {
+        return (onSuspicion ? suspectSignal : lostSignal).asMono();
     }
 
     void notifySuspect() {
-        suspect.tryEmitEmpty();
+        suspectSignal.tryEmitEmpty();
     }
 
     void notifyLost() {
-        suspect.tryEmitEmpty();
-        lost.tryEmitEmpty();
+        suspectSignal.tryEmitEmpty();
+        lostSignal.tryEmitEmpty();
     }
 
     /**
-     * Notes the time to the first token.
+     * Records the time to the first token of the run.
      *
-     * @param millis the time
+     * @param millis the time in milliseconds
      */
-    public void sawFirstToken(double millis) {
-        slot.sawFirstToken(millis);
+    public void recordFirstToken(double millis) {
+        slot.recordFirstToken(millis);
     }
 
     /**
-     * Ends the assignment; later calls do nothing.
+     * Releases the assignment. Further calls have no effect.
      *
-     * @param failed whether the group failed, so that it gets no work for a moment
+     * @param failed whether the run failed on the group, which then receives no requests for a short time
      */
-    public void end(boolean failed) {
-        if (ended.compareAndSet(false, true)) {
-            slot.forget(this);
-            dispatcher.ended(slot, failed);
+    public void release(boolean failed) {
+        if (released.compareAndSet(false, true)) {
+            slot.removeAssignment(this);
+            dispatcher.release(slot, failed);
         }
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/routing/Dispatcher.java
+++ b/entry/src/main/java/org/hallwall/entry/routing/Dispatcher.java
@@ -39,18 +39,18 @@
 import org.hallwall.entry.exchange.Exchange;
 import reactor.core.publisher.Mono;
 
-/** Queues requests and gives each a group; one thread decides. */
+/** Queues requests and assigns each to a group. All decisions are made on one thread. */
 public final class Dispatcher implements Closeable {
 
-    private static final int RING = 8_192;
+    private static final int RING_CAPACITY = 8_192;
     private static final long TICK_MILLIS = 20;
-    private static final long REFRESH_MILLIS = 100;
-    private static final long FAILED_MILLIS = 1_000;
-    private static final int SLOW_PROBE = 16;
-    /** When a caller retries whom a full ring has refused: the ring empties in well under a second. */
-    private static final Duration OVERLOADED_WAIT = Duration.ofSeconds(1);
+    private static final long REFRESH_INTERVAL_MILLIS = 100;
+    private static final long FAILURE_COOLDOWN_MILLIS = 1_000;
+    private static final int SLOW_PROBE_INTERVAL = 16;
+    /** Retry-After of a request that is refused because the ring buffer is full. */
+    private static final Duration OVERLOADED_RETRY_AFTER = Duration.ofSeconds(1);
 
-    private static final Duration NO_GROUP_WAIT = Duration.ofSeconds(2);
+    private static final Duration NO_GROUP_RETRY_AFTER = Duration.ofSeconds(2);
 
     private final GroupTable table;
     private final DomainTiming timing;
@@ -58,23 +58,23 @@
     private final RandomGenerator random;
     private final Ticker ticker;
     private final int maxQueued;
-    private final DutyThread duty;
+    private final DutyThread dispatchThread;
     private final Map<ModelGroupId, RequestQueue> queues = new HashMap<>();
-    private final Map<ModelGroupId, DrainRate> rates = new HashMap<>();
+    private final Map<ModelGroupId, DrainRate> drainRates = new HashMap<>();
     private final Map<WorkspaceId, Integer> queuedByWorkspace = new HashMap<>();
     private final AtomicLong dispatched = new AtomicLong();
     private volatile int queued;
-    private long refreshedAt;
+    private long lastRefreshMillis;
 
     /**
-     * Creates the dispatcher; {@link #start()} starts it.
+     * Creates a dispatcher that is not started yet.
      *
-     * @param table the groups
-     * @param timing the time limits
-     * @param policy how a group is chosen
-     * @param random the source of random choices
+     * @param table the groups to route to
+     * @param timing the timeouts of the failure domain
+     * @param policy the policy that chooses among usable groups
+     * @param random the source of randomness
      * @param ticker the clock
-     * @param maxQueued how many requests may wait
+     * @param maxQueued the maximum number of queued requests
      */
     public Dispatcher(
             GroupTable table,
@@ -89,176 +89,185 @@
         this.random = random;
         this.ticker = ticker;
         this.maxQueued = maxQueued;
-        this.duty = new DutyThread("dispatch", RING, TICK_MILLIS, this::tick);
+        this.dispatchThread = new DutyThread("dispatch", RING_CAPACITY, TICK_MILLIS, this::tick);
     }
 
-    /** Starts the thread. */
+    /** Starts the dispatch thread. */
     public void start() {
-        duty.start();
+        dispatchThread.start();
     }
 
     /**
-     * Asks for a group.
+     * Submits a request for assignment to a group.
      *
-     * @param x the request
-     * @return the group, or a {@link RefusalException}; the request has not run on any group through this call
+     * @param exchange the request
+     * @return the assignment, or a {@link RefusalException} with the verdict {@code NOT_RUN}
      */
-    public Mono<Assignment> submit(Exchange x) {
+    public Mono<Assignment> submit(Exchange exchange) {
         return Mono.create(sink -> {
-            Waiter w = new Waiter(x, sink);
-            if (!duty.offer(() -> take(w))) {
-                w.refuse(refusal(ProblemType.QUEUE_FULL, "this entry is overloaded", OVERLOADED_WAIT));
+            PendingRequest request = new PendingRequest(exchange, sink);
+            if (!dispatchThread.offer(() -> admit(request))) {
+                request.refuse(refusal(ProblemType.QUEUE_FULL, "this entry is overloaded", OVERLOADED_RETRY_AFTER));
             }
         });
     }
 
     /**
-     * Says whether any group of a model group serves here.
+     * Returns whether any group in this failure domain serves a model group.
      *
      * @param modelGroup the model group
-     * @return true if one does
+     * @return true if at least one group serves it
      */
     public boolean serves(ModelGroupId modelGroup) {
         return table.serves(modelGroup, ticker.millis());
     }
 
     /**
-     * Counts the requests that wait.
+     * Returns the number of queued requests.
      *
-     * @return how many
+     * @return the number of requests
      */
     public int queued() {
         return queued;
     }
 
     /**
-     * Counts the requests that were given a group since the start.
+     * Returns the number of assignments made since the start. A retried request counts again.
      *
-     * @return how many
+     * @return the number of assignments
      */
     public long dispatched() {
         return dispatched.get();
     }
 
     /**
-     * Gives the state of the ring.
+     * Returns the state of the dispatch thread.
      *
      * @return the state
      */
     public DutyState dutyState() {
-        return duty.state();
+        return dispatchThread.state();
     }
 
     @Override
     public void close() {
-        duty.close();
+        dispatchThread.close();
     }
 
     boolean isComplete(GroupSlot slot) {
         return slot.view().isComplete(ticker.millis(), timing.announceLease());
     }
 
-    void ended(GroupSlot slot, boolean failed) {
-        slot.ended();
+    void release(GroupSlot slot, boolean failed) {
+        slot.runEnded();
         if (failed) {
-            slot.failed(ticker.millis() + FAILED_MILLIS);
+            slot.startCooldown(ticker.millis() + FAILURE_COOLDOWN_MILLIS);
         }
         ModelGroupId modelGroup = slot.view().membership().modelGroup();
-        duty.offer(() -> {
-            rate(modelGroup).note(ticker.millis());
-            serveQueue(modelGroup, ticker.millis());
+        dispatchThread.offer(() -> {
+            drainRate(modelGroup).recordCompletion(ticker.millis());
+            dispatchQueued(modelGroup, ticker.millis());
         });
     }
 
     private void tick() {
         long now = ticker.millis();
-        if (now - refreshedAt >= REFRESH_MILLIS) {
-            refreshedAt = now;
+        if (now - lastRefreshMillis >= REFRESH_INTERVAL_MILLIS) {
+            lastRefreshMillis = now;
             table.refresh(now);
         }
-        for (ModelGroupId m : new ArrayList<>(queues.keySet())) {
-            expire(m, now);
-            serveQueue(m, now);
+        for (ModelGroupId modelGroup : new ArrayList<>(queues.keySet())) {
+            removeExpired(modelGroup, now);
+            dispatchQueued(modelGroup, now);
         }
     }
 
-    private void take(Waiter w) {
+    private void admit(PendingRequest request) {
         long now = ticker.millis();
-        ModelGroupId m = w.exchange().modelGroup();
-        if (now >= w.exchange().deadlineAt()) {
-            w.refuse(refusal(ProblemType.DEADLINE_EXCEEDED, "the deadline has passed", Duration.ZERO));
+        ModelGroupId modelGroup = request.exchange().modelGroup();
+        if (now >= request.exchange().deadlineAt()) {
+            request.refuse(refusal(ProblemType.DEADLINE_EXCEEDED, "the deadline has passed", Duration.ZERO));
             return;
         }
-        if (!table.serves(m, now)) {
-            w.refuse(refusal(ProblemType.NO_COMPLETE_GROUP, "no complete group serves the model here", NO_GROUP_WAIT));
+        if (!table.serves(modelGroup, now)) {
+            request.refuse(refusal(
+                    ProblemType.NO_COMPLETE_GROUP, "no complete group serves the model here", NO_GROUP_RETRY_AFTER));
             return;
         }
-        if (queue(m).size() == 0 && assign(w, now)) {
+        if (queue(modelGroup).size() == 0 && assign(request, now)) {
             return;
         }
-        enqueue(w, now);
+        enqueue(request, now);
     }
 
-    private void enqueue(Waiter w, long now) {
-        Exchange x = w.exchange();
-        RequestQueue q = queue(x.modelGroup());
-        DrainRate rate = rate(x.modelGroup());
-        Integer most = x.workspaceSpec().maxQueued();
-        int mine = queuedByWorkspace.getOrDefault(x.workspace(), 0);
-        Duration wait = rate.timeFor(q.aheadOf(x.headers().priority()) + 1, now);
-        boolean hopeless = rate.isKnown() && now + wait.toMillis() > x.deadlineAt();
-        if (queued >= maxQueued || most != null && mine >= most || hopeless) {
-            w.refuse(refusal(ProblemType.QUEUE_FULL, "too many requests wait for this model", wait));
+    private void enqueue(PendingRequest request, long now) {
+        Exchange exchange = request.exchange();
+        RequestQueue requests = queue(exchange.modelGroup());
+        DrainRate rate = drainRate(exchange.modelGroup());
+        Integer workspaceLimit = exchange.workspaceSpec().maxQueued();
+        int workspaceQueued = queuedByWorkspace.getOrDefault(exchange.workspace(), 0);
+        Duration retryAfter =
+                rate.estimateWait(requests.countAhead(exchange.headers().priority()) + 1, now);
+        boolean exceedsDeadline = rate.hasEstimate() && now + retryAfter.toMillis() > exchange.deadlineAt();
+        if (queued >= maxQueued || workspaceLimit != null && workspaceQueued >= workspaceLimit || exceedsDeadline) {
+            request.refuse(refusal(ProblemType.QUEUE_FULL, "too many requests wait for this model", retryAfter));
             return;
         }
-        q.add(w);
-        count(w, 1);
+        requests.add(request);
+        adjustQueued(request, 1);
     }
 
-    private void expire(ModelGroupId m, long now) {
-        boolean served = table.serves(m, now);
-        queue(m).removeIf(
-                        w -> !served || w.isGone() || now >= w.exchange().deadlineAt(),
-                        w -> dropWaiting(w, served, now));
+    private void removeExpired(ModelGroupId modelGroup, long now) {
+        boolean served = table.serves(modelGroup, now);
+        queue(modelGroup)
+                .removeIf(
+                        request -> !served
+                                || request.isCancelled()
+                                || now >= request.exchange().deadlineAt(),
+                        request -> refuseExpired(request, served, now));
     }
 
-    private void dropWaiting(Waiter w, boolean served, long now) {
-        count(w, -1);
+    private void refuseExpired(PendingRequest request, boolean served, long now) {
+        adjustQueued(request, -1);
         if (!served) {
-            w.refuse(refusal(ProblemType.NO_COMPLETE_GROUP, "no complete group serves the model here", NO_GROUP_WAIT));
+            request.refuse(refusal(
+                    ProblemType.NO_COMPLETE_GROUP, "no complete group serves the model here", NO_GROUP_RETRY_AFTER));
         } else {
-            Duration wait = rate(w.exchange().modelGroup()).timeFor(queued + 1, now);
-            w.refuse(refusal(ProblemType.DEADLINE_EXCEEDED, "the deadline passed while the request waited", wait));
+            Duration retryAfter = drainRate(request.exchange().modelGroup()).estimateWait(queued + 1, now);
+            request.refuse(
+                    refusal(ProblemType.DEADLINE_EXCEEDED, "the deadline passed while the request waited", retryAfter));
         }
     }
 
-    private void serveQueue(ModelGroupId m, long now) {
-        RequestQueue q = queue(m);
-        while (q.size() > 0 && hasRoom(m, now)) {
-            Waiter w = q.poll();
-            count(w, -1);
-            if (!w.isGone() && !assign(w, now)) {
-                // Only this request cannot use the groups that have room: it failed on them before.
-                w.refuse(refusal(
-                        ProblemType.NO_COMPLETE_GROUP, "no other complete group serves the model", NO_GROUP_WAIT));
+    private void dispatchQueued(ModelGroupId modelGroup, long now) {
+        RequestQueue requests = queue(modelGroup);
+        while (requests.size() > 0 && hasCapacity(modelGroup, now)) {
+            PendingRequest request = requests.poll();
+            adjustQueued(request, -1);
+            if (!request.isCancelled() && !assign(request, now)) {
+                // Every group with capacity is excluded for this request, for example because it failed there before.
+                request.refuse(refusal(
+                        ProblemType.NO_COMPLETE_GROUP,
+                        "no other complete group serves the model",
+                        NO_GROUP_RETRY_AFTER));
             }
         }
     }
 
-    private boolean hasRoom(ModelGroupId m, long now) {
-        for (GroupSlot s : table.usable(m, now)) {
-            if (s.hasRoom()) {
+    private boolean hasCapacity(ModelGroupId modelGroup, long now) {
+        for (GroupSlot s : table.usable(modelGroup, now)) {
+            if (s.hasCapacity()) {
                 return true;
             }
         }
         return false;
     }
 
-    private boolean assign(Waiter w, long now) {
+    private boolean assign(PendingRequest request, long now) {
         List<GroupSlot> candidates = new ArrayList<>();
-        for (GroupSlot s : table.usable(w.exchange().modelGroup(), now)) {
-            boolean fits = s.view().hasAdapter(w.exchange().adapter());
-            if (fits && s.hasRoom() && !w.exchange().hasFailedOn(s.group())) {
+        for (GroupSlot s : table.usable(request.exchange().modelGroup(), now)) {
+            boolean fits = s.view().hasAdapter(request.exchange().adapter());
+            if (fits && s.hasCapacity() && !request.exchange().hasFailedOn(s.group())) {
                 candidates.add(s);
             }
         }
@@ -266,36 +275,36 @@
             return false;
         }
         GroupSlot chosen =
-                policy.choose(withoutSlow(candidates), w.exchange().chat().prompt(), random);
-        chosen.began();
+                policy.choose(excludeSlow(candidates), request.exchange().chat().prompt(), random);
+        chosen.runStarted();
         dispatched.incrementAndGet();
-        w.give(new Assignment(chosen, this));
+        request.assign(new Assignment(chosen, this));
         return true;
     }
 
-    /** A slow group still gets one request in sixteen, so that its recovery is seen. */
-    private List<GroupSlot> withoutSlow(List<GroupSlot> candidates) {
-        if (random.nextInt(SLOW_PROBE) == 0) {
+    /** Excludes slow groups, except from one choice in sixteen so that their recovery is detected. */
+    private List<GroupSlot> excludeSlow(List<GroupSlot> candidates) {
+        if (random.nextInt(SLOW_PROBE_INTERVAL) == 0) {
             return candidates;
         }
         List<GroupSlot> fast = candidates.stream().filter(s -> !s.isSlow()).toList();
         return fast.isEmpty() ? candidates : fast;
     }
 
-    private void count(Waiter w, int change) {
+    private void adjustQueued(PendingRequest request, int change) {
         queued += change;
-        queuedByWorkspace.merge(w.exchange().workspace(), change, Integer::sum);
+        queuedByWorkspace.merge(request.exchange().workspace(), change, Integer::sum);
     }
 
-    private RequestQueue queue(ModelGroupId m) {
-        return queues.computeIfAbsent(m, k -> new RequestQueue());
+    private RequestQueue queue(ModelGroupId modelGroup) {
+        return queues.computeIfAbsent(modelGroup, k -> new RequestQueue());
     }
 
-    private DrainRate rate(ModelGroupId m) {
-        return rates.computeIfAbsent(m, k -> new DrainRate());
+    private DrainRate drainRate(ModelGroupId modelGroup) {
+        return drainRates.computeIfAbsent(modelGroup, k -> new DrainRate());
     }
 
-    private static RefusalException refusal(ProblemType type, String detail, Duration wait) {
-        return new RefusalException(type, Verdict.NOT_RUN, detail, wait);
+    private static RefusalException refusal(ProblemType type, String detail, Duration retryAfter) {
+        return new RefusalException(type, Verdict.NOT_RUN, detail, retryAfter);
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/routing/DrainRate.java
+++ b/entry/src/main/java/org/hallwall/entry/routing/DrainRate.java
@@ -20,42 +20,44 @@
 
 import java.time.Duration;
 
-/** Measures how many requests a second leave a queue. Not safe for use by several threads. */
+/** Exponentially smoothed rate of completed requests per second, used to estimate queueing time. Not thread-safe. */
 final class DrainRate {
 
     private static final long WINDOW_MILLIS = 1_000;
     private static final double SMOOTHING = 0.3;
-    private static final Duration UNKNOWN = Duration.ofSeconds(1);
-    private static final Duration MOST = Duration.ofSeconds(60);
+    private static final Duration DEFAULT_WAIT = Duration.ofSeconds(1);
+    private static final Duration MAX_WAIT = Duration.ofSeconds(60);
 
-    private long windowAt;
-    private int inWindow;
-    private double perSecond;
+    private long windowStartMillis;
+    private int completedInWindow;
+    private double smoothedRate;
 
-    void note(long now) {
-        roll(now);
-        inWindow++;
+    void recordCompletion(long now) {
+        advanceWindow(now);
+        completedInWindow++;
     }
 
-    /** Estimates how long a number of requests takes to leave. */
-    Duration timeFor(int requests, long now) {
-        roll(now);
-        if (perSecond <= 0) {
-            return UNKNOWN;
+    /** Estimates the time in which a number of requests completes. */
+    Duration estimateWait(int requests, long now) {
+        advanceWindow(now);
+        if (smoothedRate <= 0) {
+            return DEFAULT_WAIT;
         }
-        Duration d = Duration.ofMillis((long) (requests * WINDOW_MILLIS / perSecond));
-        return d.compareTo(MOST) > 0 ? MOST : d;
+        Duration wait = Duration.ofMillis((long) (requests * WINDOW_MILLIS / smoothedRate));
+        return wait.compareTo(MAX_WAIT) > 0 ? MAX_WAIT : wait;
     }
 
-    boolean isKnown() {
-        return perSecond > 0;
+    boolean hasEstimate() {
+        return smoothedRate > 0;
     }
 
-    private void roll(long now) {
-        while (now - windowAt >= WINDOW_MILLIS) {
-            perSecond = perSecond == 0 ? inWindow : perSecond + SMOOTHING * (inWindow - perSecond);
-            inWindow = 0;
-            windowAt = now - windowAt > 10 * WINDOW_MILLIS ? now : windowAt + WINDOW_MILLIS;
+    private void advanceWindow(long now) {
+        while (now - windowStartMillis >= WINDOW_MILLIS) {
+            smoothedRate = smoothedRate == 0
+                    ? completedInWindow
+                    : smoothedRate + SMOOTHING * (completedInWindow - smoothedRate);
+            completedInWindow = 0;
+            windowStartMillis = now - windowStartMillis > 10 * WINDOW_MILLIS ? now : windowStartMillis + WINDOW_MILLIS;
         }
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/routing/GroupSlot.java
+++ b/entry/src/main/java/org/hallwall/entry/routing/GroupSlot.java
@@ -27,108 +27,108 @@
 import org.hallwall.domain.KnownTarget;
 import org.hallwall.engine.TargetLoad;
 
-/** What this entry knows of one group that it may route to. */
+/** Routing state of one group: its latest announced view, the load from this entry, and its health. */
 public final class GroupSlot {
 
     private static final double SMOOTHING = 0.2;
-    private static final double ROOM_FACTOR = 1.25;
-    private static final int LEAST_SAMPLES = 5;
+    private static final double OVERCOMMIT_FACTOR = 1.25;
+    private static final int MIN_SAMPLES = 5;
 
     private final GroupId group;
     private final AtomicInteger outstanding = new AtomicInteger();
     private volatile GroupView view;
     private volatile double firstTokenMillis;
-    private volatile int samples;
-    private volatile long failedUntil;
+    private volatile int firstTokenSamples;
+    private volatile long cooldownUntil;
     private volatile boolean draining;
     private volatile boolean slow;
     private final Set<Assignment> assignments = ConcurrentHashMap.newKeySet();
-    private int outstandingWhenHeard;
+    private int outstandingAtLastReport;
 
     /**
-     * Creates the slot of a group.
+     * Creates the state of a group without outstanding requests.
      *
-     * @param view the group
+     * @param view the group as announced by its members
      */
     public GroupSlot(GroupView view) {
         this.group = view.group();
         this.view = view;
     }
 
-    void update(GroupView fresh, boolean isDraining) {
-        KnownTarget before = view.head();
-        KnownTarget after = fresh.head();
-        if (before == null || after == null || before.heardAt() != after.heardAt()) {
-            outstandingWhenHeard = outstanding.get();
+    void update(GroupView newView, boolean isDraining) {
+        KnownTarget oldHead = view.head();
+        KnownTarget newHead = newView.head();
+        if (oldHead == null || newHead == null || oldHead.heardAt() != newHead.heardAt()) {
+            outstandingAtLastReport = outstanding.get();
         }
-        view = fresh;
+        view = newView;
         draining = isDraining;
     }
 
     /**
-     * Gives the group.
+     * Returns the id of the group.
      *
-     * @return the group
+     * @return the id
      */
     public GroupId group() {
         return group;
     }
 
     /**
-     * Gives the group as its members announce it.
+     * Returns the group as last announced by its members.
      *
-     * @return the group
+     * @return the view
      */
     public GroupView view() {
         return view;
     }
 
     /**
-     * Counts the runs that this entry has in progress on the group.
+     * Returns the number of runs that this entry has in progress on the group.
      *
-     * @return how many
+     * @return the number of runs
      */
     public int outstanding() {
         return outstanding.get();
     }
 
     /**
-     * Estimates the runs in progress on the group: this entry's own, and those of others as last reported.
+     * Estimates the load of the group: the outstanding runs of this entry plus those of other entries as last reported.
      *
-     * @return how many
+     * @return the estimated number of running and queued runs
      */
     public int estimatedLoad() {
-        TargetLoad load = reported();
-        int others = Math.max(0, load.running() + load.queued() - outstandingWhenHeard);
+        TargetLoad load = reportedLoad();
+        int others = Math.max(0, load.running() + load.queued() - outstandingAtLastReport);
         return outstanding.get() + others;
     }
 
     /**
-     * Says whether the group has room for one more run.
+     * Returns whether the group has capacity for another run.
      *
-     * @return true if its estimated load is below its slots and a small reserve
+     * @return true if the estimated load is below the number of slots times the overcommit factor
      */
-    public boolean hasRoom() {
-        return estimatedLoad() < Math.ceil(reported().slots() * ROOM_FACTOR);
+    public boolean hasCapacity() {
+        return estimatedLoad() < Math.ceil(reportedLoad().slots() * OVERCOMMIT_FACTOR);
     }
 
     /**
-     * Says whether the group may be given a run.
+     * Returns whether new runs may be assigned to the group.
      *
-     * @param now the clock
-     * @param lease how long an announcement counts
-     * @return true if it is complete and neither draining, leaving nor just failed
+     * @param now the current time in milliseconds
+     * @param lease how long an announcement is valid, in milliseconds
+     * @return true if the group serves and is not in the cooldown after a failed run
      */
     public boolean isUsable(long now, long lease) {
-        return isServing(now, lease) && now >= failedUntil;
+        return isServing(now, lease) && now >= cooldownUntil;
     }
 
     /**
-     * Says whether the group serves, even if a run on it has just failed.
+     * Returns whether the group serves, regardless of the cooldown after a failed run.
      *
-     * @param now the clock
-     * @param lease how long an announcement counts
-     * @return true if it is complete and neither draining nor leaving
+     * @param now the current time in milliseconds
+     * @param lease how long an announcement is valid, in milliseconds
+     * @return true if it is complete, not draining and not leaving
      */
     public boolean isServing(long now, long lease) {
         GroupView v = view;
@@ -136,37 +136,37 @@
     }
 
     /**
-     * Says whether the group is much slower than the others.
+     * Returns whether the group is marked as an outlier in time to first token.
      *
-     * @return true if it is
+     * @return true if it is marked as slow
      */
     public boolean isSlow() {
         return slow;
     }
 
     /**
-     * Gives the smoothed time to the first token.
+     * Returns the smoothed time to the first token.
      *
-     * @return milliseconds; zero before enough runs were seen
+     * @return the time in milliseconds; zero until there are enough samples
      */
     public double firstTokenMillis() {
-        return samples < LEAST_SAMPLES ? 0 : firstTokenMillis;
+        return firstTokenSamples < MIN_SAMPLES ? 0 : firstTokenMillis;
     }
 
     void markSlow(boolean isSlow) {
         slow = isSlow;
     }
 
-    void remember(Assignment a) {
+    void addAssignment(Assignment a) {
         assignments.add(a);
     }
 
-    void forget(Assignment a) {
+    void removeAssignment(Assignment a) {
         assignments.remove(a);
     }
 
-    /** Tells the runs in progress that the group is silent for long, or that it is no more. */
-    void tellRuns(long now, long suspectAfter, long lostAfter) {
+    /** Signals to the runs in progress that the group is suspected or lost. */
+    void notifyAssignments(long now, long suspectAfter, long lostAfter) {
         long silence = view.isIntact() ? now - view.heardAt() : Long.MAX_VALUE;
         for (Assignment a : assignments) {
             if (silence >= lostAfter) {
@@ -177,25 +177,25 @@
         }
     }
 
-    void began() {
+    void runStarted() {
         outstanding.incrementAndGet();
     }
 
-    void ended() {
+    void runEnded() {
         outstanding.decrementAndGet();
     }
 
-    void failed(long until) {
-        failedUntil = until;
+    void startCooldown(long until) {
+        cooldownUntil = until;
     }
 
-    void sawFirstToken(double millis) {
-        int n = samples;
+    void recordFirstToken(double millis) {
+        int n = firstTokenSamples;
         firstTokenMillis = n == 0 ? millis : firstTokenMillis + SMOOTHING * (millis - firstTokenMillis);
-        samples = n + 1;
+        firstTokenSamples = n + 1;
     }
 
-    private TargetLoad reported() {
+    private TargetLoad reportedLoad() {
         KnownTarget head = view.head();
         return head == null ? TargetLoad.NONE : head.announcement().load();
     }
--- a/entry/src/main/java/org/hallwall/entry/routing/GroupTable.java
+++ b/entry/src/main/java/org/hallwall/entry/routing/GroupTable.java
@@ -33,12 +33,12 @@
 import org.hallwall.domain.GroupViews;
 import org.hallwall.domain.TargetDirectory;
 
-/** The groups that this entry may route to. The dispatch thread refreshes it; any thread reads. */
+/** Routing table of the groups that this entry can use. Refreshed by the dispatch thread, readable from any thread. */
 public final class GroupTable {
 
     private static final double SLOW_FACTOR = 3;
-    private static final int SLOW_SHARE = 3;
-    private static final double NOISE_MILLIS = 20;
+    private static final int MAX_SLOW_DIVISOR = 3;
+    private static final double SLOW_MARGIN_MILLIS = 20;
     private static final long SUSPECT_GRACE_MILLIS = 500;
 
     private final TargetDirectory directory;
@@ -49,8 +49,8 @@
     /**
      * Creates an empty table.
      *
-     * @param directory what targets announce
-     * @param timing the time limits
+     * @param directory the announcements of targets
+     * @param timing the timeouts of the failure domain
      */
     public GroupTable(TargetDirectory directory, DomainTiming timing) {
         this.directory = directory;
@@ -58,10 +58,10 @@
     }
 
     /**
-     * Stops new work for groups for a while.
+     * Marks groups as draining: they receive no new requests until the given time.
      *
      * @param groups the groups
-     * @param until the clock until which they get none
+     * @param until the end of draining, in milliseconds
      */
     public void drain(List<GroupId> groups, long until) {
         for (GroupId g : groups) {
@@ -70,10 +70,10 @@
     }
 
     /**
-     * Counts the runs in progress on the draining groups.
+     * Returns the number of runs in progress on each draining group.
      *
-     * @param now the clock
-     * @return how many on each
+     * @param now the current time in milliseconds
+     * @return the number of runs by group id
      */
     public Map<String, Integer> outstandingOnDraining(long now) {
         Map<String, Integer> out = new TreeMap<>();
@@ -87,9 +87,9 @@
     }
 
     /**
-     * Takes in the latest announcements.
+     * Updates the table from the latest announcements.
      *
-     * @param now the clock
+     * @param now the current time in milliseconds
      */
     public void refresh(long now) {
         drainingUntil.values().removeIf(until -> until <= now);
@@ -98,24 +98,24 @@
             slots.computeIfAbsent(v.group(), g -> new GroupSlot(v)).update(v, drainingUntil.containsKey(v.group()));
         }
         for (GroupSlot s : slots.values()) {
-            s.tellRuns(now, timing.announceLease() + SUSPECT_GRACE_MILLIS, timing.deadAfter());
+            s.notifyAssignments(now, timing.announceLease() + SUSPECT_GRACE_MILLIS, timing.deadAfter());
         }
         slots.values().removeIf(s -> !views.containsKey(s.group()) && s.outstanding() == 0);
         markSlow();
     }
 
     /**
-     * Lists the groups that may be given a run.
+     * Returns the groups of a model group to which new runs may be assigned.
      *
      * @param modelGroup the model group
-     * @param now the clock
+     * @param now the current time in milliseconds
      * @return the groups
      */
     public List<GroupSlot> usable(ModelGroupId modelGroup, long now) {
         List<GroupSlot> out = new ArrayList<>();
         for (GroupSlot s : slots.values()) {
-            boolean mine = s.view().membership().modelGroup().equals(modelGroup);
-            if (mine && s.isUsable(now, timing.announceLease())) {
+            boolean matches = s.view().membership().modelGroup().equals(modelGroup);
+            if (matches && s.isUsable(now, timing.announceLease())) {
                 out.add(s);
             }
         }
@@ -123,16 +123,16 @@
     }
 
     /**
-     * Says whether any group of a model group serves.
+     * Returns whether any group serves a model group.
      *
      * @param modelGroup the model group
-     * @param now the clock
-     * @return true if one does
+     * @param now the current time in milliseconds
+     * @return true if at least one group serves it
      */
     public boolean serves(ModelGroupId modelGroup, long now) {
         for (GroupSlot s : slots.values()) {
-            boolean mine = s.view().membership().modelGroup().equals(modelGroup);
-            if (mine && s.isServing(now, timing.announceLease())) {
+            boolean matches = s.view().membership().modelGroup().equals(modelGroup);
+            if (matches && s.isServing(now, timing.announceLease())) {
                 return true;
             }
         }
@@ -140,46 +140,46 @@
     }
 
     /**
-     * Finds the slot of a group.
+     * Returns the routing state of a group.
      *
      * @param group the group
-     * @return the slot; null if the group is not known
+     * @return the state, or null if the group is unknown
      */
     public GroupSlot get(GroupId group) {
         return slots.get(group);
     }
 
     /**
-     * Lists all slots.
+     * Returns the routing state of all groups.
      *
-     * @return the slots
+     * @return the states
      */
     public List<GroupSlot> all() {
         return new ArrayList<>(slots.values());
     }
 
-    /** Marks the groups that are much slower than the median, a third of them at most. */
+    /** Marks groups as slow whose time to first token is far above the median; at most a third of each model group. */
     private void markSlow() {
         Map<ModelGroupId, List<GroupSlot>> byModel = new HashMap<>();
         for (GroupSlot s : slots.values()) {
             byModel.computeIfAbsent(s.view().membership().modelGroup(), m -> new ArrayList<>())
                     .add(s);
         }
-        byModel.values().forEach(GroupTable::markSlowOf);
+        byModel.values().forEach(GroupTable::markSlowGroups);
     }
 
-    private static void markSlowOf(List<GroupSlot> groups) {
+    private static void markSlowGroups(List<GroupSlot> groups) {
         double[] times = groups.stream()
                 .mapToDouble(GroupSlot::firstTokenMillis)
                 .filter(t -> t > 0)
                 .toArray();
         Arrays.sort(times);
         double median = times.length == 0 ? 0 : times[(times.length - 1) / 2];
-        int most = (groups.size() + SLOW_SHARE - 1) / SLOW_SHARE;
+        int maxSlow = (groups.size() + MAX_SLOW_DIVISOR - 1) / MAX_SLOW_DIVISOR;
         groups.sort((a, b) -> Double.compare(b.firstTokenMillis(), a.firstTokenMillis()));
         for (int i = 0; i < groups.size(); i++) {
-            boolean far = groups.get(i).firstTokenMillis() > SLOW_FACTOR * median + NOISE_MILLIS;
-            groups.get(i).markSlow(times.length > 1 && far && i < most);
+            boolean outlier = groups.get(i).firstTokenMillis() > SLOW_FACTOR * median + SLOW_MARGIN_MILLIS;
+            groups.get(i).markSlow(times.length > 1 && outlier && i < maxSlow);
         }
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/routing/Waiter.java
+++ b/entry/src/main/java/org/hallwall/entry/routing/PendingRequest.java
@@ -24,32 +24,32 @@
 import org.hallwall.entry.exchange.Exchange;
 import reactor.core.publisher.MonoSink;
 
-/** A request that waits for a group. */
-final class Waiter {
+/** A queued request and the subscriber that waits for its assignment. */
+final class PendingRequest {
 
     private final Exchange exchange;
     private final MonoSink<Assignment> sink;
-    private final AtomicBoolean gone = new AtomicBoolean();
+    private final AtomicBoolean cancelled = new AtomicBoolean();
 
-    Waiter(Exchange exchange, MonoSink<Assignment> sink) {
+    PendingRequest(Exchange exchange, MonoSink<Assignment> sink) {
         this.exchange = exchange;
         this.sink = sink;
-        sink.onCancel(() -> gone.set(true));
+        sink.onCancel(() -> cancelled.set(true));
     }
 
     Exchange exchange() {
         return exchange;
     }
 
-    boolean isGone() {
-        return gone.get();
+    boolean isCancelled() {
+        return cancelled.get();
     }
 
-    void give(Assignment a) {
-        sink.success(a);
+    void assign(Assignment assignment) {
+        sink.success(assignment);
     }
 
-    void refuse(RefusalException e) {
-        sink.error(e);
+    void refuse(RefusalException refusal) {
+        sink.error(refusal);
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/routing/RequestQueue.java
+++ b/entry/src/main/java/org/hallwall/entry/routing/RequestQueue.java
@@ -29,71 +29,71 @@
 import org.hallwall.entry.exchange.RequestPriority;
 
 /**
- * Requests that wait for one model group, by priority. While all priorities wait, each gets turns by its weight, so
- * that none is starved out. Not safe for use by several threads.
+ * Queue of the requests for one model group. Uses smooth weighted round robin over the priorities, so that low
+ * priorities are not starved. Not thread-safe.
  */
 final class RequestQueue {
 
-    private final Map<RequestPriority, Deque<Waiter>> waiting = new EnumMap<>(RequestPriority.class);
-    private final Map<RequestPriority, Integer> credit = new EnumMap<>(RequestPriority.class);
+    private final Map<RequestPriority, Deque<PendingRequest>> queues = new EnumMap<>(RequestPriority.class);
+    private final Map<RequestPriority, Integer> credits = new EnumMap<>(RequestPriority.class);
 
     RequestQueue() {
         for (RequestPriority p : RequestPriority.values()) {
-            waiting.put(p, new ArrayDeque<>());
-            credit.put(p, 0);
+            queues.put(p, new ArrayDeque<>());
+            credits.put(p, 0);
         }
     }
 
-    void add(Waiter w) {
-        waiting.get(w.exchange().headers().priority()).addLast(w);
+    void add(PendingRequest request) {
+        queues.get(request.exchange().headers().priority()).addLast(request);
     }
 
     int size() {
-        int n = 0;
-        for (Deque<Waiter> d : waiting.values()) {
-            n += d.size();
+        int count = 0;
+        for (Deque<PendingRequest> queue : queues.values()) {
+            count += queue.size();
         }
-        return n;
+        return count;
     }
 
-    /** Counts those that would be served before a newcomer of a priority, about. */
-    int aheadOf(RequestPriority priority) {
-        int n = 0;
+    /** Estimates how many queued requests would be served before a new one of the given priority. */
+    int countAhead(RequestPriority priority) {
+        int count = 0;
         for (RequestPriority p : RequestPriority.values()) {
-            n += p.compareTo(priority) >= 0 ? waiting.get(p).size() : 0;
+            count += p.compareTo(priority) >= 0 ? queues.get(p).size() : 0;
         }
-        return n;
+        return count;
     }
 
-    /** Takes the next one; null if none waits. */
-    Waiter poll() {
+    /** Removes and returns the next request, or null if the queue is empty. */
+    PendingRequest poll() {
         RequestPriority best = null;
         int total = 0;
         for (RequestPriority p : RequestPriority.values()) {
-            if (waiting.get(p).isEmpty()) {
-                credit.put(p, 0);
+            if (queues.get(p).isEmpty()) {
+                credits.put(p, 0);
                 continue;
             }
             total += p.weight();
-            credit.merge(p, p.weight(), Integer::sum);
-            best = best == null || credit.get(p) >= credit.get(best) ? p : best;
+            credits.merge(p, p.weight(), Integer::sum);
+            best = best == null || credits.get(p) >= credits.get(best) ? p : best;
         }
         if (best == null) {
             return null;
         }
-        credit.merge(best, -total, Integer::sum);
-        return waiting.get(best).pollFirst();
+        credits.merge(best, -total, Integer::sum);
+        return queues.get(best).pollFirst();
     }
 
-    /** Takes out all that match. */
-    void removeIf(Predicate<Waiter> test, Consumer<Waiter> removed) {
-        for (Deque<Waiter> d : waiting.values()) {
-            Iterator<Waiter> it = d.iterator();
+    /** Removes all requests that match, and passes each to a callback. */
+    void removeIf(Predicate<PendingRequest> predicate, Consumer<PendingRequest> onRemoved) {
+        for (Deque<PendingRequest> queue : queues.values()) {
+            Iterator<PendingRequest> it = queue.iterator();
             while (it.hasNext()) {
-                Waiter w = it.next();
-                if (test.test(w)) {
+                PendingRequest request = it.next();
+                if (predicate.test(request)) {
                     it.remove();
-                    removed.accept(w);
+                    onRemoved.accept(request);
                 }
             }
         }
--- a/entry/src/main/java/org/hallwall/entry/routing/RoutingPolicy.java
+++ b/entry/src/main/java/org/hallwall/entry/routing/RoutingPolicy.java
@@ -25,46 +25,46 @@
 
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** How one of several usable groups is chosen. */
+/** Policy for choosing among the usable groups. */
 public enum RoutingPolicy {
-    /** Any group, all equally likely. */
+    /** Chooses a group uniformly at random. */
     RANDOM {
         @Override
         GroupSlot choose(List<GroupSlot> groups, String prompt, RandomGenerator random) {
             return groups.get(random.nextInt(groups.size()));
         }
     },
-    /** The less loaded of two taken at random. */
+    /** Chooses the less loaded of two random groups (power of two choices). */
     LEAST_OUTSTANDING {
         @Override
         GroupSlot choose(List<GroupSlot> groups, String prompt, RandomGenerator random) {
-            return lesserOfTwo(groups, random);
+            return lessLoadedOfTwo(groups, random);
         }
     },
-    /** The group that prompts with the same beginning go to, unless it is loaded well above the average. */
+    /** Rendezvous hashing on the prefix of the prompt with bounded loads, for reuse of cached prefixes. */
     PREFIX_AFFINITY {
         @Override
         GroupSlot choose(List<GroupSlot> groups, String prompt, RandomGenerator random) {
-            double bound = averageLoad(groups) * LOAD_FACTOR + 1;
-            String prefix = prompt.substring(0, Math.min(prompt.length(), PREFIX_CHARS));
+            double maxLoad = averageLoad(groups) * LOAD_FACTOR + 1;
+            String prefix = prompt.substring(0, Math.min(prompt.length(), PREFIX_LENGTH));
             List<GroupSlot> ranked = groups.stream()
                     .sorted(Comparator.comparingLong((GroupSlot g) -> rank(prefix, g)))
                     .toList();
             for (GroupSlot g : ranked) {
-                if (g.estimatedLoad() < bound) {
+                if (g.estimatedLoad() < maxLoad) {
                     return g;
                 }
             }
-            return lesserOfTwo(groups, random);
+            return lessLoadedOfTwo(groups, random);
         }
     };
 
     private static final double LOAD_FACTOR = 1.25;
-    private static final int PREFIX_CHARS = 512;
+    private static final int PREFIX_LENGTH = 512;
 
     abstract GroupSlot choose(List<GroupSlot> groups, String prompt, RandomGenerator random);
 
-    private static GroupSlot lesserOfTwo(List<GroupSlot> groups, RandomGenerator random) {
+    private static GroupSlot lessLoadedOfTwo(List<GroupSlot> groups, RandomGenerator random) {
         GroupSlot a = groups.get(random.nextInt(groups.size()));
         GroupSlot b = groups.get(random.nextInt(groups.size()));
         return a.estimatedLoad() <= b.estimatedLoad() ? a : b;
--- a/entry/src/main/java/org/hallwall/entry/routing/package-info.java
+++ b/entry/src/main/java/org/hallwall/entry/routing/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** Queueing requests and choosing the group that runs each. */
+/** Queueing of requests and choice of the group that runs each request. */
 package org.hallwall.entry.routing;
--- a/entry/src/test/java/org/hallwall/entry/routing/RequestQueueTest.java
+++ b/entry/src/test/java/org/hallwall/entry/routing/RequestQueueTest.java
@@ -36,10 +36,10 @@
     private final RequestQueue queue = new RequestQueue();
 
     @Test
-    void highGoesFirstAndLowIsNotStarved() {
+    void servesPrioritiesByWeight() {
         for (RequestPriority p : RequestPriority.values()) {
             for (int i = 0; i < 100; i++) {
-                queue.add(waiter(p));
+                queue.add(pendingRequest(p));
             }
         }
         Map<RequestPriority, Integer> served = new EnumMap<>(RequestPriority.class);
@@ -53,8 +53,8 @@
 
     @Test
     void servesInOrderOfArrivalWithinPriority() {
-        Waiter first = waiter(RequestPriority.LOW);
-        Waiter second = waiter(RequestPriority.LOW);
+        PendingRequest first = pendingRequest(RequestPriority.LOW);
+        PendingRequest second = pendingRequest(RequestPriority.LOW);
         queue.add(first);
         queue.add(second);
         assertEquals(first, queue.poll());
@@ -63,17 +63,17 @@
     }
 
     @Test
-    void countsThoseAhead() {
-        queue.add(waiter(RequestPriority.LOW));
-        queue.add(waiter(RequestPriority.HIGH));
-        assertEquals(1, queue.aheadOf(RequestPriority.HIGH));
-        assertEquals(2, queue.aheadOf(RequestPriority.LOW));
+    void countsRequestsAhead() {
+        queue.add(pendingRequest(RequestPriority.LOW));
+        queue.add(pendingRequest(RequestPriority.HIGH));
+        assertEquals(1, queue.countAhead(RequestPriority.HIGH));
+        assertEquals(2, queue.countAhead(RequestPriority.LOW));
     }
 
-    private static Waiter waiter(RequestPriority priority) {
+    private static PendingRequest pendingRequest(RequestPriority priority) {
         RequestHeaders headers = new RequestHeaders(null, null, null, priority, 0, 0);
-        Waiter[] out = new Waiter[1];
-        Mono.<Assignment>create(sink -> out[0] = new Waiter(new Exchange(headers, null, true, 0, 0), sink))
+        PendingRequest[] out = new PendingRequest[1];
+        Mono.<Assignment>create(sink -> out[0] = new PendingRequest(new Exchange(headers, null, true, 0, 0), sink))
                 .subscribe();
         assertTrue(out[0] != null);
         return out[0];
