--- a/entry/src/main/java/org/hallwall/entry/limit/RetryBudget.java
+++ b/entry/src/main/java/org/hallwall/entry/limit/RetryBudget.java
@@ -21,48 +21,48 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Bounds retries to a share of recent successes, so that a fleet half dead does not see its load multiplied. Safe for
- * use by several threads.
+ * Limits retries to a fraction of recent successes, so that retries do not multiply the load while many targets fail.
+ * Thread-safe.
  */
 public final class RetryBudget {
 
-    private static final long UNITS_A_RETRY = 10;
-    private static final long MOST_UNITS = 100;
+    private static final long UNITS_PER_RETRY = 10;
+    private static final long MAX_UNITS = 100;
 
-    private final AtomicLong units = new AtomicLong(MOST_UNITS);
+    private final AtomicLong units = new AtomicLong(MAX_UNITS);
     private final AtomicLong spent = new AtomicLong();
     private final AtomicLong refused = new AtomicLong();
 
-    /** Notes a success: a tenth of a retry. */
-    public void succeeded() {
-        units.updateAndGet(u -> Math.min(MOST_UNITS, u + 1));
+    /** Records a success, which adds a tenth of a retry to the budget. */
+    public void recordSuccess() {
+        units.updateAndGet(u -> Math.min(MAX_UNITS, u + 1));
     }
 
     /**
-     * Takes a retry.
+     * Acquires permission for one retry.
      *
-     * @return false if the budget is used up
+     * @return false if the budget is exhausted
      */
-    public boolean take() {
-        long before = units.getAndUpdate(u -> u >= UNITS_A_RETRY ? u - UNITS_A_RETRY : u);
-        boolean taken = before >= UNITS_A_RETRY;
-        (taken ? spent : refused).incrementAndGet();
-        return taken;
+    public boolean tryAcquire() {
+        long before = units.getAndUpdate(u -> u >= UNITS_PER_RETRY ? u - UNITS_PER_RETRY : u);
+        boolean acquired = before >= UNITS_PER_RETRY;
+        (acquired ? spent : refused).incrementAndGet();
+        return acquired;
     }
 
     /**
-     * Counts the retries taken since the start.
+     * Returns the number of retries granted since the start.
      *
-     * @return how many
+     * @return the number of retries
      */
     public long spent() {
         return spent.get();
     }
 
     /**
-     * Counts the retries refused since the start.
+     * Returns the number of retries refused since the start.
      *
-     * @return how many
+     * @return the number of retries
      */
     public long refused() {
         return refused.get();
--- a/entry/src/main/java/org/hallwall/entry/limit/TokenBucket.java
+++ b/entry/src/main/java/org/hallwall/entry/limit/TokenBucket.java
@@ -20,52 +20,52 @@
 
 import java.time.Duration;
 
-/** A token bucket. Safe for use by several threads. */
+/** Token bucket that allows debt, for costs that are only known afterwards. Thread-safe. */
 public final class TokenBucket {
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    private double perSecond;
-    private double most;
+    private double tokensPerSecond;
+    private double capacity;
     private double tokens;
-    private long filledAt;
+    private long lastRefillMillis;
 
     /**
      * Creates a full bucket.
      *
-     * @param perSecond how many tokens come in a second
-     * @param most how many it holds
-     * @param now the clock
+     * @param tokensPerSecond the refill rate
+     * @param capacity the maximum number of tokens
+     * @param now the current time in milliseconds
      */
-    public TokenBucket(double perSecond, double most, long now) {
-        this.perSecond = perSecond;
-        this.most = most;
-        this.tokens = most;
-        this.filledAt = now;
+    public TokenBucket(double tokensPerSecond, double capacity, long now) {
+        this.tokensPerSecond = tokensPerSecond;
+        this.capacity = capacity;
+        this.tokens = capacity;
+        this.lastRefillMillis = now;
     }
 
     /**
-     * Changes the rate; the tokens held stay.
+     * Changes the rate and the capacity. Available tokens are kept up to the new capacity.
      *
-     * @param newPerSecond how many tokens come in a second
-     * @param newMost how many it holds
-     * @param now the clock
+     * @param newTokensPerSecond the new refill rate
+     * @param newCapacity the new maximum number of tokens
+     * @param now the current time in milliseconds
      */
-    public synchronized void setRate(double newPerSecond, double newMost, long now) {
-        fill(now);
-        perSecond = newPerSecond;
-        most = newMost;
-        tokens = Math.min(tokens, most);
+    public synchronized void setRate(double newTokensPerSecond, double newCapacity, long now) {
+        refill(now);
+        tokensPerSecond = newTokensPerSecond;
+        capacity = newCapacity;
+        tokens = Math.min(tokens, capacity);
     }
 
     /**
-     * Takes one token.
+     * Acquires one token.
      *
-     * @param now the clock
-     * @return false if there is none
+     * @param now the current time in milliseconds
+     * @return false if no token is available
      */
-    public synchronized boolean take(long now) {
-        fill(now);
+    public synchronized boolean tryAcquire(long now) {
+        refill(now);
         if (tokens < 1) {
             return false;
         }
@@ -74,43 +74,43 @@
     }
 
     /**
-     * Says whether the bucket is not in debt.
+     * Returns whether the bucket has a positive balance.
      *
-     * @param now the clock
-     * @return true if it holds more than nothing
+     * @param now the current time in milliseconds
+     * @return false if it is empty or in debt
      */
     public synchronized boolean isPositive(long now) {
-        fill(now);
+        refill(now);
         return tokens > 0;
     }
 
     /**
-     * Takes tokens that were used already; the bucket may go into debt.
+     * Charges tokens that have already been used. The balance may become negative.
      *
-     * @param used how many
-     * @param now the clock
+     * @param used the number of tokens
+     * @param now the current time in milliseconds
      */
-    public synchronized void spend(double used, long now) {
-        fill(now);
+    public synchronized void charge(double used, long now) {
+        refill(now);
         tokens -= used;
     }
 
     /**
-     * Says how long it takes until the bucket holds a token.
+     * Returns the time until a token is available.
      *
-     * @param now the clock
-     * @return the time
+     * @param now the current time in milliseconds
+     * @return the time; zero if a token is available
      */
-    public synchronized Duration untilNext(long now) {
-        fill(now);
+    public synchronized Duration timeUntilNextToken(long now) {
+        refill(now);
         double missing = Math.max(0, 1 - tokens);
-        return Duration.ofMillis((long) Math.ceil(missing / perSecond * MILLIS_PER_SECOND));
+        return Duration.ofMillis((long) Math.ceil(missing / tokensPerSecond * MILLIS_PER_SECOND));
     }
 
-    private void fill(long now) {
-        if (now > filledAt) {
-            tokens = Math.min(most, tokens + (now - filledAt) / MILLIS_PER_SECOND * perSecond);
-            filledAt = now;
+    private void refill(long now) {
+        if (now > lastRefillMillis) {
+            tokens = Math.min(capacity, tokens + (now - lastRefillMillis) / MILLIS_PER_SECOND * tokensPerSecond);
+            lastRefillMillis = now;
         }
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/limit/WorkspaceLimits.java
+++ b/entry/src/main/java/org/hallwall/entry/limit/WorkspaceLimits.java
@@ -33,21 +33,22 @@
 import org.hallwall.resource.WorkspaceSpec;
 
 /**
- * Holds workspaces to their limits of requests and generated tokens a second. Each live entry grants an equal share.
+ * Enforces the limits of each workspace on requests and generated tokens per second. Each live entry enforces an equal
+ * share.
  */
 public final class WorkspaceLimits implements RequestFilter {
 
-    private static final double LEAST_BURST = 2;
+    private static final double MIN_CAPACITY = 2;
 
     private final Ticker ticker;
     private final IntSupplier liveEntries;
-    private final Map<WorkspaceId, Buckets> buckets = new ConcurrentHashMap<>();
+    private final Map<WorkspaceId, WorkspaceBuckets> buckets = new ConcurrentHashMap<>();
 
     /**
      * Creates the limits.
      *
      * @param ticker the clock
-     * @param liveEntries how many entries share the limits, this one included
+     * @param liveEntries the number of live entries, including this one
      */
     public WorkspaceLimits(Ticker ticker, IntSupplier liveEntries) {
         this.ticker = ticker;
@@ -55,66 +56,66 @@
     }
 
     @Override
-    public void apply(Exchange x) throws RefusalException {
-        WorkspaceSpec spec = x.workspaceSpec();
+    public void apply(Exchange exchange) throws RefusalException {
+        WorkspaceSpec spec = exchange.workspaceSpec();
         if (spec.requestsPerSecond() == null && spec.tokensPerSecond() == null) {
             return;
         }
-        Buckets b = buckets.computeIfAbsent(x.workspace(), w -> new Buckets());
-        b.check(spec, Math.max(1, liveEntries.getAsInt()), ticker.millis());
+        WorkspaceBuckets workspaceBuckets = buckets.computeIfAbsent(exchange.workspace(), w -> new WorkspaceBuckets());
+        workspaceBuckets.acquire(spec, Math.max(1, liveEntries.getAsInt()), ticker.millis());
     }
 
     /**
-     * Counts generated tokens against the limit of a workspace.
+     * Charges generated tokens to a workspace.
      *
      * @param workspace the workspace
-     * @param tokens how many
+     * @param tokens the number of generated tokens
      */
-    public void spent(WorkspaceId workspace, int tokens) {
-        Buckets b = buckets.get(workspace);
-        if (b != null) {
-            b.spend(tokens, ticker.millis());
+    public void chargeTokens(WorkspaceId workspace, int tokens) {
+        WorkspaceBuckets workspaceBuckets = buckets.get(workspace);
+        if (workspaceBuckets != null) {
+            workspaceBuckets.chargeTokens(tokens, ticker.millis());
         }
     }
 
-    /** The buckets of one workspace. */
-    private static final class Buckets {
+    /** Token buckets of one workspace; null for each limit that is not set. */
+    private static final class WorkspaceBuckets {
 
         private TokenBucket requests;
         private TokenBucket tokens;
 
-        synchronized void check(WorkspaceSpec spec, int entries, long now) throws RefusalException {
-            requests = adjust(requests, spec.requestsPerSecond(), entries, now);
-            tokens = adjust(tokens, spec.tokensPerSecond(), entries, now);
+        synchronized void acquire(WorkspaceSpec spec, int liveEntries, long now) throws RefusalException {
+            requests = createOrUpdate(requests, spec.requestsPerSecond(), liveEntries, now);
+            tokens = createOrUpdate(tokens, spec.tokensPerSecond(), liveEntries, now);
             if (tokens != null && !tokens.isPositive(now)) {
-                throw over("the workspace is over its limit of tokens", tokens.untilNext(now));
+                throw limitExceeded("the workspace is over its limit of tokens", tokens.timeUntilNextToken(now));
             }
-            if (requests != null && !requests.take(now)) {
-                throw over("the workspace is over its limit of requests", requests.untilNext(now));
+            if (requests != null && !requests.tryAcquire(now)) {
+                throw limitExceeded("the workspace is over its limit of requests", requests.timeUntilNextToken(now));
             }
         }
 
-        synchronized void spend(int used, long now) {
+        synchronized void chargeTokens(int generated, long now) {
             if (tokens != null) {
-                tokens.spend(used, now);
+                tokens.charge(generated, now);
             }
         }
 
-        private static TokenBucket adjust(TokenBucket bucket, Double limit, int entries, long now) {
+        private static TokenBucket createOrUpdate(TokenBucket bucket, Double limit, int liveEntries, long now) {
             if (limit == null) {
                 return null;
             }
-            double share = limit / entries;
-            double most = Math.max(share, LEAST_BURST);
+            double share = limit / liveEntries;
+            double capacity = Math.max(share, MIN_CAPACITY);
             if (bucket == null) {
-                return new TokenBucket(share, most, now);
+                return new TokenBucket(share, capacity, now);
             }
-            bucket.setRate(share, most, now);
+            bucket.setRate(share, capacity, now);
             return bucket;
         }
 
-        private static RefusalException over(String detail, Duration wait) {
-            return new RefusalException(ProblemType.LIMIT_EXCEEDED, Verdict.NOT_RUN, detail, wait);
+        private static RefusalException limitExceeded(String detail, Duration retryAfter) {
+            return new RefusalException(ProblemType.LIMIT_EXCEEDED, Verdict.NOT_RUN, detail, retryAfter);
         }
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/limit/package-info.java
+++ b/entry/src/main/java/org/hallwall/entry/limit/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** Limits on workspaces and on retries. */
+/** Rate limits of workspaces and the retry budget. */
 package org.hallwall.entry.limit;
--- a/entry/src/main/java/org/hallwall/entry/relay/RequestRunner.java
+++ b/entry/src/main/java/org/hallwall/entry/relay/RequestRunner.java
@@ -88,7 +88,7 @@
                 .doOnComplete(() -> done.set(true))
                 .takeUntilOther(Mono.delay(Duration.ofMillis(Math.max(1, left))))
                 .concatWith(Flux.defer(() -> done.get() ? Flux.empty() : Flux.error(deadlinePassed(x))))
-                .doOnComplete(budget::succeeded);
+                .doOnComplete(budget::recordSuccess);
     }
 
     private Flux<List<RunFrame>> tryOnce(Exchange x) {
@@ -133,7 +133,7 @@
         if (!x.verdict().allowsRetry(x.isRepeatable())) {
             return refuse(ProblemType.TARGET_FAILED, x.verdict(), e.getMessage());
         }
-        if (!budget.take()) {
+        if (!budget.tryAcquire()) {
             return refuse(ProblemType.RETRIES_EXHAUSTED, x.verdict(), "too many requests fail at the moment");
         }
         counters.retried();
--- a/entry/src/main/java/org/hallwall/entry/relay/ServiceRunner.java
+++ b/entry/src/main/java/org/hallwall/entry/relay/ServiceRunner.java
@@ -102,7 +102,7 @@
                         ProblemType.DEADLINE_EXCEEDED,
                         x.isDispatched() ? Verdict.MAY_HAVE_RUN : Verdict.NOT_RUN,
                         "the deadline has passed")));
-        return Mono.firstWithSignal(tryOnce(x, call, new HashSet<>()), deadline).doOnNext(r -> budget.succeeded());
+        return Mono.firstWithSignal(tryOnce(x, call, new HashSet<>()), deadline).doOnNext(r -> budget.recordSuccess());
     }
 
     private Mono<ServiceReply> tryOnce(Exchange x, ServiceCall call, Set<InstanceId> failed) {
@@ -166,7 +166,7 @@
         if (!x.verdict().allowsRetry(x.isRepeatable())) {
             return Mono.error(refusal(ProblemType.TARGET_FAILED, x.verdict(), "the call broke off"));
         }
-        if (!budget.take()) {
+        if (!budget.tryAcquire()) {
             return Mono.error(
                     refusal(ProblemType.RETRIES_EXHAUSTED, x.verdict(), "too many requests fail at the moment"));
         }
--- a/entry/src/main/java/org/hallwall/entry/request/ChatHandler.java
+++ b/entry/src/main/java/org/hallwall/entry/request/ChatHandler.java
@@ -150,7 +150,7 @@
         if (last.end() != null) {
             counters.answered();
             if (last.usage() != null) {
-                limits.spent(x.workspace(), last.usage().completionTokens());
+                limits.chargeTokens(x.workspace(), last.usage().completionTokens());
             }
         }
     }
--- a/entry/src/test/java/org/hallwall/entry/limit/RetryBudgetTest.java
+++ b/entry/src/test/java/org/hallwall/entry/limit/RetryBudgetTest.java
@@ -28,11 +28,11 @@
 class RetryBudgetTest {
 
     private static final int REQUESTS = 10_000;
-    private static final int MOST_TRIES = 10;
+    private static final int MAX_RETRIES = 10;
 
-    /** Half of all attempts fail: without a budget the targets see twice the offered load. */
+    /** With half of all attempts failing, unlimited retries would double the load. */
     @Test
-    void fleetHalfDeadDoesNotSeeItsLoadMultiplied() {
+    void boundsLoadWhenHalfOfAttemptsFail() {
         double with = attemptsPerRequest(new RetryBudget());
         double without = attemptsPerRequest(null);
         assertTrue(with <= 1.2, "with a budget " + with);
@@ -42,13 +42,13 @@
     @Test
     void recoversWithSuccesses() {
         RetryBudget budget = new RetryBudget();
-        while (budget.take()) {
-            assertTrue(budget.spent() <= MOST_TRIES);
+        while (budget.tryAcquire()) {
+            assertTrue(budget.spent() <= MAX_RETRIES);
         }
-        for (int i = 0; i < MOST_TRIES; i++) {
-            budget.succeeded();
+        for (int i = 0; i < MAX_RETRIES; i++) {
+            budget.recordSuccess();
         }
-        assertTrue(budget.take());
+        assertTrue(budget.tryAcquire());
         assertEquals(11, budget.spent());
         assertEquals(1, budget.refused());
     }
@@ -57,14 +57,14 @@
         Random random = new Random(1);
         int attempts = 0;
         for (int i = 0; i < REQUESTS; i++) {
-            boolean again = true;
-            while (again) {
+            boolean retry = true;
+            while (retry) {
                 attempts++;
                 boolean failed = random.nextBoolean();
                 if (!failed && budget != null) {
-                    budget.succeeded();
+                    budget.recordSuccess();
                 }
-                again = failed && (budget == null || budget.take());
+                retry = failed && (budget == null || budget.tryAcquire());
             }
         }
         return (double) attempts / REQUESTS;
--- a/entry/src/test/java/org/hallwall/entry/limit/TokenBucketTest.java
+++ b/entry/src/test/java/org/hallwall/entry/limit/TokenBucketTest.java
@@ -29,27 +29,27 @@
 class TokenBucketTest {
 
     @Test
-    void grantsItsRateOverTime() {
+    void grantsTokensAtConfiguredRate() {
         TokenBucket bucket = new TokenBucket(10, 2, 0);
-        int taken = 0;
+        int acquired = 0;
         for (long now = 0; now < 10_000; now += 5) {
-            taken += bucket.take(now) ? 1 : 0;
+            acquired += bucket.tryAcquire(now) ? 1 : 0;
         }
-        assertEquals(102, taken, 1);
+        assertEquals(102, acquired, 1);
     }
 
     @Test
-    void saysWhenToComeBack() {
+    void reportsTimeUntilNextToken() {
         TokenBucket bucket = new TokenBucket(4, 1, 0);
-        assertTrue(bucket.take(0));
-        assertFalse(bucket.take(0));
-        assertEquals(Duration.ofMillis(250), bucket.untilNext(0));
+        assertTrue(bucket.tryAcquire(0));
+        assertFalse(bucket.tryAcquire(0));
+        assertEquals(Duration.ofMillis(250), bucket.timeUntilNextToken(0));
     }
 
     @Test
-    void debtIsPaidBeforeAnythingIsGranted() {
+    void refusesWhileInDebt() {
         TokenBucket bucket = new TokenBucket(100, 100, 0);
-        bucket.spend(300, 0);
+        bucket.charge(300, 0);
         assertFalse(bucket.isPositive(1_900));
         assertTrue(bucket.isPositive(2_100));
     }
