--- a/entry/src/main/java/org/hallwall/entry/request/BodyReader.java
+++ b/entry/src/main/java/org/hallwall/entry/request/BodyReader.java
@@ -27,7 +27,7 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.server.HttpServerRequest;
 
-/** Reads the body of a request, up to a size and within a time. */
+/** Reads request bodies with a limit on size and time. */
 public final class BodyReader {
 
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
@@ -37,37 +37,38 @@
     /**
      * Creates a reader.
      *
-     * @param maxBytes the largest body that is accepted
+     * @param maxBytes the maximum size of a body
      */
     public BodyReader(int maxBytes) {
         this.maxBytes = maxBytes;
     }
 
     /**
-     * Reads a body.
+     * Reads the body of a request.
      *
-     * @param req the request
+     * @param req the HTTP request
      * @return the body, or a {@link RefusalException}
      */
     public Mono<byte[]> read(HttpServerRequest req) {
-        String declared = req.requestHeaders().get("Content-Length");
-        if (declared != null && declared.length() > 9 || declared != null && Long.parseLong(declared) > maxBytes) {
+        String contentLength = req.requestHeaders().get("Content-Length");
+        if (contentLength != null && contentLength.length() > 9
+                || contentLength != null && Long.parseLong(contentLength) > maxBytes) {
             return Mono.error(tooLarge());
         }
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        ByteArrayOutputStream body = new ByteArrayOutputStream();
         return req.receive()
                 .asByteArray()
-                .<byte[]>handle((part, sink) -> {
-                    out.writeBytes(part);
-                    if (out.size() > maxBytes) {
+                .<byte[]>handle((chunk, sink) -> {
+                    body.writeBytes(chunk);
+                    if (body.size() > maxBytes) {
                         sink.error(tooLarge());
                     }
                 })
-                .then(Mono.fromSupplier(out::toByteArray))
+                .then(Mono.fromSupplier(body::toByteArray))
                 .timeout(TIMEOUT)
                 .onErrorMap(
                         TimeoutException.class,
-                        e -> new RefusalException(ProblemType.BAD_REQUEST, "the body did not arrive in time"));
+                        e -> new RefusalException(ProblemType.BAD_REQUEST, "timed out while reading the body"));
     }
 
     private RefusalException tooLarge() {
--- a/entry/src/main/java/org/hallwall/entry/request/CallerServer.java
+++ b/entry/src/main/java/org/hallwall/entry/request/CallerServer.java
@@ -37,33 +37,33 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** The port for callers. */
+/** HTTP server of the public API. */
 public final class CallerServer implements Closeable {
 
     private static final int MAX_HEADER_BYTES = 16 * 1024;
-    private static final int MAX_LINE_BYTES = 8 * 1024;
+    private static final int MAX_REQUEST_LINE_BYTES = 8 * 1024;
     private static final int BACKLOG = 1_024;
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(30);
     private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(75);
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final ChatHandler chat;
     private final ModelsHandler models;
     private final ServiceHandler services;
     private final KeysHandler keys;
     private final InFlight inFlight;
-    private final Refusals refusals;
+    private final RefusalResponder responder;
     private DisposableServer server;
 
     /**
-     * Creates the server; {@link #open} opens its port.
+     * Creates the server without opening its port.
      *
-     * @param chat handles chat completions
-     * @param models lists models
-     * @param services handles calls of plain services
-     * @param keys makes idempotency keys
-     * @param inFlight counts the requests in progress
-     * @param counters the counters
+     * @param chat the handler of chat completions
+     * @param models the handler of the list of models
+     * @param services the handler of service calls
+     * @param keys the handler that creates idempotency keys
+     * @param inFlight the counter of requests in progress
+     * @param counters the metrics of the request path
      */
     public CallerServer(
             ChatHandler chat,
@@ -77,13 +77,13 @@
         this.services = services;
         this.keys = keys;
         this.inFlight = inFlight;
-        this.refusals = new Refusals(counters);
+        this.responder = new RefusalResponder(counters);
     }
 
     /**
      * Opens the port.
      *
-     * @param address where to listen
+     * @param address the address to listen on
      * @throws ProgramException if the port cannot be opened
      */
     public void open(NetAddress address) throws ProgramException {
@@ -91,19 +91,19 @@
                 .host(address.host())
                 .port(address.port())
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
-                .httpRequestDecoder(d -> d.maxHeaderSize(MAX_HEADER_BYTES).maxInitialLineLength(MAX_LINE_BYTES))
+                .httpRequestDecoder(d -> d.maxHeaderSize(MAX_HEADER_BYTES).maxInitialLineLength(MAX_REQUEST_LINE_BYTES))
                 .requestTimeout(REQUEST_TIMEOUT)
                 .idleTimeout(IDLE_TIMEOUT)
-                .route(routes -> routes.post("/v1/chat/completions", counted(chat::handle))
-                        .get("/v1/models", counted(models::handle))
-                        .post("/v1/idempotency-keys", counted(keys::handle))
-                        .route(r -> r.uri().startsWith(ServiceHandler.ROOT), counted(services::handle))
-                        .route(r -> true, this::unknown));
+                .route(routes -> routes.post("/v1/chat/completions", trackInFlight(chat::handle))
+                        .get("/v1/models", trackInFlight(models::handle))
+                        .post("/v1/idempotency-keys", trackInFlight(keys::handle))
+                        .route(r -> r.uri().startsWith(ServiceHandler.PATH_PREFIX), trackInFlight(services::handle))
+                        .route(r -> true, this::notFound));
         server = HttpPorts.bind(http, address);
     }
 
     /**
-     * Gives the port that is open.
+     * Returns the port that the server listens on.
      *
      * @return the port
      */
@@ -116,23 +116,23 @@
         server.disposeNow();
     }
 
-    private BiFunction<HttpServerRequest, HttpServerResponse, Publisher<Void>> counted(
+    private BiFunction<HttpServerRequest, HttpServerResponse, Publisher<Void>> trackInFlight(
             BiFunction<HttpServerRequest, HttpServerResponse, Publisher<Void>> handler) {
         return (req, res) -> {
             if (inFlight.isStopping()) {
                 res.header("Connection", "close");
-                return refusals.answer(
+                return responder.respond(
                         res,
                         new RefusalException(
-                                ProblemType.STOPPING, Verdict.NOT_RUN, "this entry is stopping", COME_BACK),
+                                ProblemType.STOPPING, Verdict.NOT_RUN, "this entry is stopping", RETRY_AFTER),
                         null);
             }
-            inFlight.began();
-            return Mono.from(handler.apply(req, res)).doFinally(end -> inFlight.ended());
+            inFlight.requestStarted();
+            return Mono.from(handler.apply(req, res)).doFinally(end -> inFlight.requestEnded());
         };
     }
 
-    private Publisher<Void> unknown(HttpServerRequest req, HttpServerResponse res) {
-        return refusals.answer(res, new RefusalException(ProblemType.NOT_FOUND, "there is no such path"), null);
+    private Publisher<Void> notFound(HttpServerRequest req, HttpServerResponse res) {
+        return responder.respond(res, new RefusalException(ProblemType.NOT_FOUND, "there is no such path"), null);
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/request/ChatAnswerForm.java
+++ b/entry/src/main/java/org/hallwall/entry/request/ChatAnswerForm.java
@@ -28,10 +28,10 @@
 import org.hallwall.entry.claim.StoredAnswer;
 import reactor.core.publisher.Flux;
 
-/** Keeps chat completions as their text. */
+/** Converts chat completions to and from stored answers, with the text of all frames as the body. */
 public final class ChatAnswerForm implements AnswerForm<List<RunFrame>> {
 
-    private static final AttemptId STORED = new AttemptId("stored");
+    private static final AttemptId STORED_ATTEMPT = new AttemptId("stored");
 
     @Override
     public boolean isLast(List<RunFrame> part) {
@@ -43,11 +43,11 @@
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         RunFrame last = null;
         for (List<RunFrame> part : parts) {
-            for (RunFrame f : part) {
-                if (f.text() != null) {
-                    text.writeBytes(f.text().getBytes(StandardCharsets.UTF_8));
+            for (RunFrame frame : part) {
+                if (frame.text() != null) {
+                    text.writeBytes(frame.text().getBytes(StandardCharsets.UTF_8));
                 }
-                last = f;
+                last = frame;
             }
         }
         return new StoredAnswer(0, null, text.toByteArray(), last.end(), last.usage());
@@ -57,7 +57,7 @@
     public Flux<List<RunFrame>> restore(StoredAnswer answer) {
         String text = new String(answer.body(), StandardCharsets.UTF_8);
         return Flux.just(List.of(
-                new RunFrame(STORED, 0, text, null, null),
-                new RunFrame(STORED, 1, null, answer.end(), answer.usage())));
+                new RunFrame(STORED_ATTEMPT, 0, text, null, null),
+                new RunFrame(STORED_ATTEMPT, 1, null, answer.end(), answer.usage())));
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/request/ChatHandler.java
+++ b/entry/src/main/java/org/hallwall/entry/request/ChatHandler.java
@@ -40,10 +40,10 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Handles chat completion requests: receives, passes the filters, runs, relays, settles. */
+/** Handles chat completion requests: reads the body, applies the filters, runs the request and relays the answer. */
 public final class ChatHandler {
 
-    private static final long USUAL_DEADLINE_MILLIS = 120_000;
+    private static final long DEFAULT_DEADLINE_MILLIS = 120_000;
 
     private final BodyReader bodies;
     private final List<RequestFilter> filters;
@@ -51,17 +51,17 @@
     private final KeyedHandler<List<RunFrame>> keyed;
     private final WorkspaceLimits limits;
     private final RelayCounters counters;
-    private final Refusals refusals;
+    private final RefusalResponder responder;
 
     /**
      * Creates the handler.
      *
-     * @param bodies reads bodies
-     * @param filters the steps before the request is queued, in order
-     * @param runner runs requests
-     * @param keyed handles requests with an idempotency key
-     * @param limits counts the tokens used
-     * @param counters the counters
+     * @param bodies the reader of request bodies
+     * @param filters the filters applied in this order before a request is queued
+     * @param runner the runner of requests
+     * @param keyed the handler of requests with an idempotency key
+     * @param limits the limits to which generated tokens are charged
+     * @param counters the metrics of the request path
      */
     public ChatHandler(
             BodyReader bodies,
@@ -76,81 +76,82 @@
         this.keyed = keyed;
         this.limits = limits;
         this.counters = counters;
-        this.refusals = new Refusals(counters);
+        this.responder = new RefusalResponder(counters);
     }
 
     /**
      * Handles a request.
      *
-     * @param req the request
-     * @param res the reply
-     * @return the end of the reply
+     * @param req the HTTP request
+     * @param res the HTTP response
+     * @return completes when the response has been sent
      */
     public Publisher<Void> handle(HttpServerRequest req, HttpServerResponse res) {
         long now = Ticker.SYSTEM.millis();
         return bodies.read(req)
-                .flatMap(body ->
-                        begin(req, body, now).flatMap(x -> answer(x, new KeyedHandler.RawCall(req, res, body))))
-                .onErrorResume(e -> refusals.answer(res, e, null));
+                .flatMap(body -> prepare(req, body, now)
+                        .flatMap(exchange -> respond(exchange, new KeyedHandler.HttpCall(req, res, body))))
+                .onErrorResume(e -> responder.respond(res, e, null));
     }
 
-    private Mono<Exchange> begin(HttpServerRequest req, byte[] body, long now) {
+    private Mono<Exchange> prepare(HttpServerRequest req, byte[] body, long now) {
         try {
             RequestHeaders headers = RequestHeaders.read(req.requestHeaders());
             ChatRequest chat = ChatRequest.read(body);
             boolean repeatable = headers.repeatable() == null || headers.repeatable();
-            long deadline = headers.deadlineMillis() == 0 ? USUAL_DEADLINE_MILLIS : headers.deadlineMillis();
-            Exchange x = new Exchange(headers, chat, repeatable, now, deadline);
+            long deadline = headers.deadlineMillis() == 0 ? DEFAULT_DEADLINE_MILLIS : headers.deadlineMillis();
+            Exchange exchange = new Exchange(headers, chat, repeatable, now, deadline);
             for (RequestFilter f : filters) {
-                f.apply(x);
+                f.apply(exchange);
             }
-            return Mono.just(x);
+            return Mono.just(exchange);
         } catch (RefusalException e) {
             return Mono.error(e);
         }
     }
 
-    private Mono<Void> answer(Exchange x, KeyedHandler.RawCall call) {
+    private Mono<Void> respond(Exchange exchange, KeyedHandler.HttpCall call) {
         HttpServerResponse res = call.res();
-        String id = x.requestId().value();
+        String id = exchange.requestId().value();
         res.header(RequestHeaders.REQUEST_ID, id);
-        Supplier<Flux<List<RunFrame>>> run = () -> runner.run(x).doOnNext(f -> settle(x, f));
-        Function<Flux<List<RunFrame>>, Mono<Void>> reply =
-                frames -> x.chat().stream() ? stream(x, res, frames) : whole(x, res, frames);
-        boolean hasKey = x.headers().idempotencyKey() != null;
-        Mono<Void> done = hasKey ? keyed.handle(x, call, run, reply) : reply.apply(run.get());
-        return done.onErrorResume(e -> refusals.answer(res, e, id));
+        Supplier<Flux<List<RunFrame>>> run = () -> runner.run(exchange).doOnNext(f -> recordCompletion(exchange, f));
+        Function<Flux<List<RunFrame>>, Mono<Void>> reply = frames ->
+                exchange.chat().stream() ? sendStream(exchange, res, frames) : sendComplete(exchange, res, frames);
+        boolean hasKey = exchange.headers().idempotencyKey() != null;
+        Mono<Void> done = hasKey ? keyed.handle(exchange, call, run, reply) : reply.apply(run.get());
+        return done.onErrorResume(e -> responder.respond(res, e, id));
     }
 
-    private Mono<Void> whole(Exchange x, HttpServerResponse res, Flux<List<RunFrame>> frames) {
+    private Mono<Void> sendComplete(Exchange exchange, HttpServerResponse res, Flux<List<RunFrame>> frames) {
         return frames.next().flatMap(all -> {
-            ChatReply reply = ChatReply.of(x.requestId().value(), x.chat().model(), all);
+            ChatReply reply =
+                    ChatReply.of(exchange.requestId().value(), exchange.chat().model(), all);
             return Mono.from(HttpReplies.json(res, 200, reply));
         });
     }
 
-    /** The status is sent with the first frame, so that a refusal before it is a plain one. */
-    private Mono<Void> stream(Exchange x, HttpServerResponse res, Flux<List<RunFrame>> frames) {
-        ChatStreamWriter writer =
-                new ChatStreamWriter(x.requestId().value(), x.chat().model());
+    /** Delays the status until the first frame, so that an earlier refusal is sent as a regular error response. */
+    private Mono<Void> sendStream(Exchange exchange, HttpServerResponse res, Flux<List<RunFrame>> frames) {
+        ChatStreamWriter writer = new ChatStreamWriter(
+                exchange.requestId().value(), exchange.chat().model());
         return frames.switchOnFirst((first, all) -> {
                     if (first.isOnError()) {
                         return Mono.<Void>error(first.getThrowable());
                     }
                     Flux<ByteBuf> events = all.map(writer::write)
                             .onErrorResume(e -> Flux.just(ChatStreamWriter.writeError(
-                                    refusals.of(e), x.requestId().value())));
+                                    responder.toRefusal(e), exchange.requestId().value())));
                     return res.sse().header("Cache-Control", "no-cache").send(events, b -> true);
                 })
                 .then();
     }
 
-    private void settle(Exchange x, List<RunFrame> frames) {
+    private void recordCompletion(Exchange exchange, List<RunFrame> frames) {
         RunFrame last = frames.get(frames.size() - 1);
         if (last.end() != null) {
             counters.countAnswer();
             if (last.usage() != null) {
-                limits.chargeTokens(x.workspace(), last.usage().completionTokens());
+                limits.chargeTokens(exchange.workspace(), last.usage().completionTokens());
             }
         }
     }
--- a/entry/src/main/java/org/hallwall/entry/request/ChatReply.java
+++ b/entry/src/main/java/org/hallwall/entry/request/ChatReply.java
@@ -25,14 +25,14 @@
 import org.hallwall.entry.exchange.ChatMessage;
 
 /**
- * The body of a whole chat completion.
+ * Response body of a chat completion that is not streamed.
  *
- * @param id the id of the request
- * @param object the kind of object
- * @param created when it was made, in seconds since 1970
- * @param model the model as the workspace names it
- * @param choices the answer
- * @param usage the tokens used
+ * @param id the request id
+ * @param object the object type
+ * @param created the creation time in seconds since the epoch
+ * @param model the model name in the workspace
+ * @param choices the generated choices; always one
+ * @param usage the token usage, or null if the engine did not report it
  */
 record ChatReply(String id, String object, long created, String model, List<Choice> choices, Usage usage) {
 
@@ -55,13 +55,13 @@
         return last.end() == RunFrame.End.LENGTH ? "length" : "stop";
     }
 
-    /** The answer. */
+    /** A generated choice. */
     record Choice(
             int index,
             ChatMessage message,
             @JsonProperty("finish_reason") String finishReason) {}
 
-    /** The tokens used. */
+    /** Token usage of a request. */
     record Usage(
             @JsonProperty("prompt_tokens") int promptTokens,
             @JsonProperty("completion_tokens") int completionTokens,
--- a/entry/src/main/java/org/hallwall/entry/request/ChatStreamWriter.java
+++ b/entry/src/main/java/org/hallwall/entry/request/ChatStreamWriter.java
@@ -30,51 +30,51 @@
 import org.hallwall.core.verdict.RefusalException;
 import org.hallwall.engine.RunFrame;
 
-/** Writes the frames of an answer as server-sent events of chat completion chunks. */
+/** Encodes the frames of an answer as server-sent events with chat completion chunks. */
 final class ChatStreamWriter {
 
     private static final long MILLIS_PER_SECOND = 1_000;
     private static final String DONE = "data: [DONE]\n\n";
 
-    private final String before;
+    private final String chunkPrefix;
 
     ChatStreamWriter(String id, String model) {
         long created = System.currentTimeMillis() / MILLIS_PER_SECOND;
-        before = "data: {\"id\":\"" + id + "\",\"object\":\"chat.completion.chunk\",\"created\":" + created
-                + ",\"model\":\"" + quoted(model) + "\",\"choices\":[{\"index\":0,\"delta\":{";
+        chunkPrefix = "data: {\"id\":\"" + id + "\",\"object\":\"chat.completion.chunk\",\"created\":" + created
+                + ",\"model\":\"" + escapeJson(model) + "\",\"choices\":[{\"index\":0,\"delta\":{";
     }
 
-    /** One buffer a batch, one event a frame. */
+    /** Encodes a batch into one buffer with one event per frame. */
     ByteBuf write(List<RunFrame> frames) {
         StringBuilder out = new StringBuilder();
-        for (RunFrame f : frames) {
-            if (f.end() != null) {
-                out.append(before).append("},\"finish_reason\":\"").append(ChatReply.finishReason(f));
+        for (RunFrame frame : frames) {
+            if (frame.end() != null) {
+                out.append(chunkPrefix).append("},\"finish_reason\":\"").append(ChatReply.finishReason(frame));
                 out.append("\"}]}\n\n").append(DONE);
             } else {
-                out.append(before).append("\"content\":\"");
-                JsonStringEncoder.getInstance().quoteAsString(f.text() == null ? "" : f.text(), out);
+                out.append(chunkPrefix).append("\"content\":\"");
+                JsonStringEncoder.getInstance().quoteAsString(frame.text() == null ? "" : frame.text(), out);
                 out.append("\"},\"finish_reason\":null}]}\n\n");
             }
         }
-        return bytes(out.toString());
+        return toBuffer(out.toString());
     }
 
-    /** The last event of an answer that cannot be delivered whole. */
+    /** Encodes the event that terminates an incomplete answer. */
     static ByteBuf writeError(RefusalException refusal, String requestId) {
         try {
             String problem = Json.MAPPER.writeValueAsString(Problem.of(refusal, requestId));
-            return bytes("event: error\ndata: " + problem + "\n\n");
+            return toBuffer("event: error\ndata: " + problem + "\n\n");
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a problem cannot be written", e);
+            throw new IllegalStateException("cannot serialize the problem", e);
         }
     }
 
-    private static String quoted(String text) {
+    private static String escapeJson(String text) {
         return new String(JsonStringEncoder.getInstance().quoteAsString(text));
     }
 
-    private static ByteBuf bytes(String text) {
+    private static ByteBuf toBuffer(String text) {
         return Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/request/IdentifyFilter.java
+++ b/entry/src/main/java/org/hallwall/entry/request/IdentifyFilter.java
@@ -28,33 +28,33 @@
 import org.hallwall.entry.exchange.RequestFilter;
 import org.hallwall.resource.Declarations;
 
-/** Finds the workspace that a key belongs to. */
+/** Authenticates a request by its API key and sets its workspace. */
 public final class IdentifyFilter implements RequestFilter {
 
-    private static final String BEARER = "Bearer ";
+    private static final String BEARER_PREFIX = "Bearer ";
 
     private final Supplier<Declarations> declarations;
 
     /**
      * Creates the filter.
      *
-     * @param declarations the declarations in force
+     * @param declarations supplies the current declarations
      */
     public IdentifyFilter(Supplier<Declarations> declarations) {
         this.declarations = declarations;
     }
 
     @Override
-    public void apply(Exchange x) throws RefusalException {
-        String value = x.headers().authorization();
-        if (value == null || !value.startsWith(BEARER)) {
+    public void apply(Exchange exchange) throws RefusalException {
+        String value = exchange.headers().authorization();
+        if (value == null || !value.startsWith(BEARER_PREFIX)) {
             throw new RefusalException(ProblemType.UNAUTHORIZED, "Authorization: Bearer KEY is missing");
         }
-        Declarations declared = declarations.get();
-        WorkspaceId id = declared.workspaceOf(KeyHash.of(value.substring(BEARER.length())));
+        Declarations current = declarations.get();
+        WorkspaceId id = current.workspaceOf(KeyHash.of(value.substring(BEARER_PREFIX.length())));
         if (id == null) {
             throw new RefusalException(ProblemType.UNAUTHORIZED, "no workspace has this key");
         }
-        x.belongsTo(id, declared.workspaces().get(id));
+        exchange.belongsTo(id, current.workspaces().get(id));
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/request/InFlight.java
+++ b/entry/src/main/java/org/hallwall/entry/request/InFlight.java
@@ -20,40 +20,40 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Counts the requests in progress, so that a planned stop can wait for them. Safe for use by several threads. */
+/** Counts the requests in progress, so that a graceful shutdown can wait for them. Thread-safe. */
 public final class InFlight {
 
     private final AtomicInteger count = new AtomicInteger();
     private volatile boolean stopping;
 
-    /** Notes that a request began. */
-    public void began() {
+    /** Records the start of a request. */
+    public void requestStarted() {
         count.incrementAndGet();
     }
 
-    /** Notes that a request ended. */
-    public void ended() {
+    /** Records the end of a request. */
+    public void requestEnded() {
         count.decrementAndGet();
     }
 
     /**
-     * Counts the requests in progress.
+     * Returns the number of requests in progress.
      *
-     * @return how many
+     * @return the number of requests
      */
     public int count() {
         return count.get();
     }
 
-    /** Refuses new requests from now on. */
+    /** Makes the server refuse new requests. */
     public void stopTaking() {
         stopping = true;
     }
 
     /**
-     * Says whether new requests are refused.
+     * Returns whether new requests are refused.
      *
-     * @return true if they are
+     * @return true after the shutdown has begun
      */
     public boolean isStopping() {
         return stopping;
--- a/entry/src/main/java/org/hallwall/entry/request/KeyedHandler.java
+++ b/entry/src/main/java/org/hallwall/entry/request/KeyedHandler.java
@@ -49,43 +49,46 @@
 import reactor.netty.http.server.HttpServerResponse;
 
 /**
- * Handles requests with an idempotency key: here, at the entry that runs the key already, or at the key's home.
+ * Handles requests with an idempotency key. A request runs in the home failure domain of its key, and is forwarded to
+ * the entry that already runs the same key, if there is one.
  *
  * @param <T> the type of the parts of an answer
  */
 public final class KeyedHandler<T> {
 
-    private static final int MOST_HOPS = 2;
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final int MAX_HOPS = 2;
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final FailureDomainId domain;
     private final KeyedRuns<T> runs;
     private final CallerForwarder forwarder;
     private final TreeSet<FailureDomainId> domains = new TreeSet<>();
-    private final Map<FailureDomainId, List<NetAddress>> homes = new HashMap<>();
-    private final Map<InstanceId, NetAddress> entries = new HashMap<>();
+    private final Map<FailureDomainId, List<NetAddress>> callerAddressesByDomain = new HashMap<>();
+    private final Map<InstanceId, NetAddress> callerAddressByEntry = new HashMap<>();
 
     /**
      * Creates the handler.
      *
      * @param settings the settings of this entry
-     * @param runs runs requests with a key
-     * @param forwarder forwards requests to other entries
+     * @param runs the runner of requests with a key
+     * @param forwarder the client that forwards requests to other entries
      */
     public KeyedHandler(EntrySettings settings, KeyedRuns<T> runs, CallerForwarder forwarder) {
         this.domain = settings.failureDomain();
         this.runs = runs;
         this.forwarder = forwarder;
         domains.add(domain);
-        for (EntrySettings.OtherDomain d : settings.otherDomains()) {
-            domains.add(d.failureDomain());
-            homes.put(
-                    d.failureDomain(),
-                    d.entries().stream().map(EntrySettings.OtherEntry::callers).toList());
+        for (EntrySettings.OtherDomain other : settings.otherDomains()) {
+            domains.add(other.failureDomain());
+            callerAddressesByDomain.put(
+                    other.failureDomain(),
+                    other.entries().stream()
+                            .map(EntrySettings.OtherEntry::callers)
+                            .toList());
         }
-        for (EntrySettings.Peer p : settings.domainEntries()) {
-            if (p.callers() != null) {
-                entries.put(p.instance(), p.callers());
+        for (EntrySettings.Peer peer : settings.domainEntries()) {
+            if (peer.callers() != null) {
+                callerAddressByEntry.put(peer.instance(), peer.callers());
             }
         }
     }
@@ -93,78 +96,81 @@
     /**
      * Handles a request with a key.
      *
-     * @param x the request
-     * @param call the request as it came
-     * @param run runs the request
-     * @param reply writes an answer
-     * @return the end of the reply, or a {@link RefusalException}
+     * @param exchange the request
+     * @param call the HTTP request and response
+     * @param run starts the request
+     * @param reply sends an answer to the caller
+     * @return completes when the response has been sent, or fails with a {@link RefusalException}
      */
-    public Mono<Void> handle(Exchange x, RawCall call, Supplier<Flux<T>> run, Function<Flux<T>, Mono<Void>> reply) {
-        ClaimKey key = ClaimKey.of(x.workspace(), x.headers().idempotencyKey());
+    public Mono<Void> handle(
+            Exchange exchange, HttpCall call, Supplier<Flux<T>> run, Function<Flux<T>, Mono<Void>> reply) {
+        ClaimKey key = ClaimKey.of(exchange.workspace(), exchange.headers().idempotencyKey());
         FailureDomainId home = key.home(domains);
         if (!home.equals(domain)) {
-            return forwardHome(x, call, home);
+            return forwardToHome(exchange, call, home);
         }
-        return runs.run(key, call.hash(), run).flatMap(answer -> answer(x, call, answer, reply));
+        return runs.run(key, call.hash(), run).flatMap(answer -> respond(exchange, call, answer, reply));
     }
 
-    private Mono<Void> answer(Exchange x, RawCall call, KeyedAnswer<T> answer, Function<Flux<T>, Mono<Void>> reply) {
+    private Mono<Void> respond(
+            Exchange exchange, HttpCall call, KeyedAnswer<T> answer, Function<Flux<T>, Mono<Void>> reply) {
         if (answer.owner() == null) {
-            return reply.apply(answer.parts().takeUntilOther(deadline(x)));
+            return reply.apply(answer.parts().takeUntilOther(deadline(exchange)));
         }
-        RefusalException lost = new RefusalException(
+        RefusalException ownerUnreachable = new RefusalException(
                 ProblemType.OUTCOME_UNKNOWN,
                 Verdict.MAY_HAVE_RUN,
                 "the entry that runs the request cannot be reached",
-                COME_BACK);
-        NetAddress owner = entries.get(answer.owner());
-        return forward(x, call, owner == null ? List.of() : List.of(owner), lost);
+                RETRY_AFTER);
+        NetAddress owner = callerAddressByEntry.get(answer.owner());
+        return forward(exchange, call, owner == null ? List.of() : List.of(owner), ownerUnreachable);
     }
 
-    private Mono<Void> forwardHome(Exchange x, RawCall call, FailureDomainId home) {
+    private Mono<Void> forwardToHome(Exchange exchange, HttpCall call, FailureDomainId home) {
         RefusalException unreachable = new RefusalException(
                 ProblemType.CLAIM_UNAVAILABLE,
                 Verdict.NOT_RUN,
                 "the failure domain that keeps the key cannot be reached",
-                COME_BACK);
-        List<NetAddress> addresses = new ArrayList<>(homes.get(home));
+                RETRY_AFTER);
+        List<NetAddress> addresses = new ArrayList<>(callerAddressesByDomain.get(home));
         Collections.shuffle(addresses);
-        return forward(x, call, addresses, unreachable);
+        return forward(exchange, call, addresses, unreachable);
     }
 
-    private Mono<Void> forward(Exchange x, RawCall call, List<NetAddress> addresses, RefusalException unreachable) {
-        if (x.headers().hops() >= MOST_HOPS) {
+    private Mono<Void> forward(
+            Exchange exchange, HttpCall call, List<NetAddress> addresses, RefusalException unreachable) {
+        if (exchange.headers().hops() >= MAX_HOPS) {
             return Mono.error(unreachable);
         }
         return forwarder
-                .forward(call.req(), call.body(), x.headers().hops(), addresses, unreachable, call.res())
-                .takeUntilOther(deadline(x));
+                .forward(call.req(), call.body(), exchange.headers().hops(), addresses, unreachable, call.res())
+                .takeUntilOther(deadline(exchange));
     }
 
-    private Mono<Void> deadline(Exchange x) {
-        long left = Math.max(1, x.deadlineAt() - Ticker.SYSTEM.millis());
-        return Mono.delay(Duration.ofMillis(left))
+    private Mono<Void> deadline(Exchange exchange) {
+        long remaining = Math.max(1, exchange.deadlineAt() - Ticker.SYSTEM.millis());
+        return Mono.delay(Duration.ofMillis(remaining))
                 .then(Mono.error(new RefusalException(
-                        ProblemType.DEADLINE_EXCEEDED, Verdict.MAY_HAVE_RUN, "the deadline has passed", COME_BACK)));
+                        ProblemType.DEADLINE_EXCEEDED, Verdict.MAY_HAVE_RUN, "the deadline has passed", RETRY_AFTER)));
     }
 
     /**
-     * A request as it came.
+     * An HTTP request with its body, and the response to it.
      *
-     * @param req the request
-     * @param res the reply
+     * @param req the HTTP request
+     * @param res the HTTP response
      * @param body the body
      */
-    public record RawCall(HttpServerRequest req, HttpServerResponse res, byte[] body) {
+    public record HttpCall(HttpServerRequest req, HttpServerResponse res, byte[] body) {
 
         /**
-         * Hashes what the request asks for.
+         * Returns a hash that identifies the content of the request.
          *
-         * @return the hash of the method, the path and the body
+         * @return the hash of the method, the URI and the body
          */
         String hash() {
-            byte[] head = (req.method() + " " + req.uri() + "\n").getBytes(StandardCharsets.UTF_8);
-            return DigestUtils.sha256Hex(DigestUtils.sha256Hex(head) + DigestUtils.sha256Hex(body));
+            byte[] requestLine = (req.method() + " " + req.uri() + "\n").getBytes(StandardCharsets.UTF_8);
+            return DigestUtils.sha256Hex(DigestUtils.sha256Hex(requestLine) + DigestUtils.sha256Hex(body));
         }
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/request/KeysHandler.java
+++ b/entry/src/main/java/org/hallwall/entry/request/KeysHandler.java
@@ -27,7 +27,7 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Makes idempotency keys whose home is this failure domain and whose age is known. */
+/** Creates idempotency keys that have this failure domain as their home and contain their creation time. */
 public final class KeysHandler {
 
     private final FailureDomainId domain;
@@ -35,18 +35,18 @@
     /**
      * Creates the handler.
      *
-     * @param domain the failure domain
+     * @param domain the failure domain of this entry
      */
     public KeysHandler(FailureDomainId domain) {
         this.domain = domain;
     }
 
     /**
-     * Handles a request for a key.
+     * Responds with a new key.
      *
-     * @param req the request
-     * @param res the reply
-     * @return the end of the reply
+     * @param req the HTTP request
+     * @param res the HTTP response
+     * @return completes when the response has been sent
      */
     public Publisher<Void> handle(HttpServerRequest req, HttpServerResponse res) {
         return HttpReplies.json(res, 200, Map.of("key", ClaimKey.mint(domain, System.currentTimeMillis())));
--- a/entry/src/main/java/org/hallwall/entry/request/ModelsHandler.java
+++ b/entry/src/main/java/org/hallwall/entry/request/ModelsHandler.java
@@ -35,43 +35,44 @@
 public final class ModelsHandler {
 
     private final IdentifyFilter identify;
-    private final Refusals refusals;
+    private final RefusalResponder responder;
 
     /**
      * Creates the handler.
      *
-     * @param identify finds the workspace
-     * @param counters the counters
+     * @param identify the filter that authenticates a request
+     * @param counters the metrics of the request path
      */
     public ModelsHandler(IdentifyFilter identify, RelayCounters counters) {
         this.identify = identify;
-        this.refusals = new Refusals(counters);
+        this.responder = new RefusalResponder(counters);
     }
 
     /**
      * Handles a request.
      *
-     * @param req the request
-     * @param res the reply
-     * @return the end of the reply
+     * @param req the HTTP request
+     * @param res the HTTP response
+     * @return completes when the response has been sent
      */
     public Publisher<Void> handle(HttpServerRequest req, HttpServerResponse res) {
         try {
-            Exchange x = new Exchange(RequestHeaders.read(req.requestHeaders()), null, true, Ticker.SYSTEM.millis(), 0);
-            identify.apply(x);
-            List<Model> models = x.workspaceSpec().models().stream()
-                    .map(r -> new Model(r.name(), "model", "hallwall"))
+            Exchange exchange =
+                    new Exchange(RequestHeaders.read(req.requestHeaders()), null, true, Ticker.SYSTEM.millis(), 0);
+            identify.apply(exchange);
+            List<Model> models = exchange.workspaceSpec().models().stream()
+                    .map(route -> new Model(route.name(), "model", "hallwall"))
                     .toList();
             return HttpReplies.json(res, 200, new Models("list", models));
         } catch (RefusalException e) {
-            return refusals.answer(res, e, null);
+            return responder.respond(res, e, null);
         }
     }
 
-    /** The list. */
+    /** Response body with the list of models. */
     record Models(String object, List<Model> data) {}
 
-    /** One model. */
+    /** A model in the list. */
     record Model(
             String id,
             String object,
--- a/entry/src/main/java/org/hallwall/entry/request/Refusals.java
+++ b/entry/src/main/java/org/hallwall/entry/request/RefusalResponder.java
@@ -29,31 +29,30 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Answers a caller whose request is refused. */
-final class Refusals {
+/** Sends error responses for refused and failed requests, and counts them. */
+final class RefusalResponder {
 
-    private static final Logger LOG = Logger.getLogger(Refusals.class);
+    private static final Logger LOG = Logger.getLogger(RefusalResponder.class);
 
     private final RelayCounters counters;
 
-    Refusals(RelayCounters counters) {
+    RefusalResponder(RelayCounters counters) {
         this.counters = counters;
     }
 
-    Mono<Void> answer(HttpServerResponse res, Throwable e, String requestId) {
-        RefusalException refusal = of(e);
+    Mono<Void> respond(HttpServerResponse res, Throwable e, String requestId) {
+        RefusalException refusal = toRefusal(e);
         return Mono.from(HttpReplies.problem(res, refusal, requestId));
     }
 
-    /** Any other fault than a refusal is unexpected, and what it left behind is unknown. */
-    RefusalException of(Throwable e) {
+    /** Converts an error to a refusal. Unexpected errors get the verdict {@code MAY_HAVE_RUN}. */
+    RefusalException toRefusal(Throwable e) {
         RefusalException refusal;
         if (e instanceof RefusalException r) {
             refusal = r;
         } else {
-            LOG.errorf(e, "entry: a request failed unexpectedly");
-            refusal = new RefusalException(
-                    ProblemType.INTERNAL, Verdict.MAY_HAVE_RUN, "an unexpected fault", Duration.ZERO);
+            LOG.errorf(e, "entry: unexpected error while handling a request");
+            refusal = new RefusalException(ProblemType.INTERNAL, Verdict.MAY_HAVE_RUN, "internal error", Duration.ZERO);
         }
         counters.countRefusal(refusal.type(), refusal.verdict());
         return refusal;
--- a/entry/src/main/java/org/hallwall/entry/request/RouteFilter.java
+++ b/entry/src/main/java/org/hallwall/entry/request/RouteFilter.java
@@ -28,7 +28,7 @@
 import org.hallwall.resource.ModelGroupSpec;
 import org.hallwall.resource.ModelRoute;
 
-/** Finds the model group that serves a model name of the workspace. */
+/** Resolves the model name of a request to a model group and an adapter. */
 public final class RouteFilter implements RequestFilter {
 
     private final Supplier<Declarations> declarations;
@@ -36,29 +36,29 @@
     /**
      * Creates the filter.
      *
-     * @param declarations the declarations in force
+     * @param declarations supplies the current declarations
      */
     public RouteFilter(Supplier<Declarations> declarations) {
         this.declarations = declarations;
     }
 
     @Override
-    public void apply(Exchange x) throws RefusalException {
-        String model = x.chat().model();
-        for (ModelRoute r : x.workspaceSpec().models()) {
-            if (r.name().equals(model)) {
-                route(x, r);
+    public void apply(Exchange exchange) throws RefusalException {
+        String model = exchange.chat().model();
+        for (ModelRoute route : exchange.workspaceSpec().models()) {
+            if (route.name().equals(model)) {
+                applyRoute(exchange, route);
                 return;
             }
         }
         throw new RefusalException(ProblemType.UNKNOWN_MODEL, "the workspace has no model of that name");
     }
 
-    private void route(Exchange x, ModelRoute r) throws RefusalException {
-        ModelGroupSpec spec = declarations.get().modelGroup(r.modelGroup());
+    private void applyRoute(Exchange exchange, ModelRoute route) throws RefusalException {
+        ModelGroupSpec spec = declarations.get().modelGroup(route.modelGroup());
         if (spec == null) {
             throw new RefusalException(ProblemType.UNKNOWN_MODEL, "the model group of that name is not declared");
         }
-        x.routedTo(r.modelGroup(), r.adapter());
+        exchange.routedTo(route.modelGroup(), route.adapter());
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/request/ServiceAnswerForm.java
+++ b/entry/src/main/java/org/hallwall/entry/request/ServiceAnswerForm.java
@@ -25,7 +25,7 @@
 import org.hallwall.entry.relay.ServiceReply;
 import reactor.core.publisher.Flux;
 
-/** Keeps the replies of plain services as they are. */
+/** Converts replies of services to and from stored answers. */
 public final class ServiceAnswerForm implements AnswerForm<ServiceReply> {
 
     @Override
@@ -35,8 +35,8 @@
 
     @Override
     public StoredAnswer store(List<ServiceReply> parts) {
-        ServiceReply r = parts.get(0);
-        return new StoredAnswer(r.status(), r.contentType(), r.body(), null, null);
+        ServiceReply reply = parts.get(0);
+        return new StoredAnswer(reply.status(), reply.contentType(), reply.body(), null, null);
     }
 
     @Override
--- a/entry/src/main/java/org/hallwall/entry/request/ServiceHandler.java
+++ b/entry/src/main/java/org/hallwall/entry/request/ServiceHandler.java
@@ -39,11 +39,11 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Handles calls of plain services. */
+/** Handles HTTP calls to services. */
 public final class ServiceHandler {
 
-    /** The beginning of the paths of plain services. */
-    public static final String ROOT = "/services/";
+    /** Path prefix of service calls; the id of the service follows. */
+    public static final String PATH_PREFIX = "/services/";
 
     private final BodyReader bodies;
     private final IdentifyFilter identify;
@@ -52,18 +52,18 @@
     private final ServiceRunner runner;
     private final KeyedHandler<ServiceReply> keyed;
     private final RelayCounters counters;
-    private final Refusals refusals;
+    private final RefusalResponder responder;
 
     /**
      * Creates the handler.
      *
-     * @param bodies reads bodies
-     * @param identify finds the workspace
-     * @param limits holds workspaces to their limits
-     * @param declarations the declarations in force
-     * @param runner runs calls
-     * @param keyed handles calls with an idempotency key
-     * @param counters the counters
+     * @param bodies the reader of request bodies
+     * @param identify the filter that authenticates a request
+     * @param limits the limits of workspaces
+     * @param declarations supplies the current declarations
+     * @param runner the runner of service calls
+     * @param keyed the handler of calls with an idempotency key
+     * @param counters the metrics of the request path
      */
     public ServiceHandler(
             BodyReader bodies,
@@ -80,69 +80,71 @@
         this.runner = runner;
         this.keyed = keyed;
         this.counters = counters;
-        this.refusals = new Refusals(counters);
+        this.responder = new RefusalResponder(counters);
     }
 
     /**
      * Handles a call.
      *
-     * @param req the call
-     * @param res the reply
-     * @return the end of the reply
+     * @param req the HTTP request
+     * @param res the HTTP response
+     * @return completes when the response has been sent
      */
     public Publisher<Void> handle(HttpServerRequest req, HttpServerResponse res) {
         long now = Ticker.SYSTEM.millis();
         return bodies.read(req)
-                .flatMap(body -> begin(new KeyedHandler.RawCall(req, res, body), now))
-                .onErrorResume(e -> refusals.answer(res, e, null));
+                .flatMap(body -> dispatch(new KeyedHandler.HttpCall(req, res, body), now))
+                .onErrorResume(e -> responder.respond(res, e, null));
     }
 
-    private Mono<Void> begin(KeyedHandler.RawCall call, long now) {
+    private Mono<Void> dispatch(KeyedHandler.HttpCall call, long now) {
         HttpServerRequest req = call.req();
         HttpServerResponse res = call.res();
         try {
             RequestHeaders headers = RequestHeaders.read(req.requestHeaders());
-            String rest = req.uri().substring(ROOT.length());
+            String rest = req.uri().substring(PATH_PREFIX.length());
             int slash = rest.indexOf('/');
-            ServiceId service = service(slash < 0 ? rest : rest.substring(0, slash));
+            ServiceId service = parseServiceId(slash < 0 ? rest : rest.substring(0, slash));
             String path = slash < 0 ? "/" : rest.substring(slash);
-            Declarations declared = declarations.get();
-            Exchange x = exchange(req, headers, declared.service(service), now);
-            identify.apply(x);
-            requireService(x, service, declared);
-            limits.apply(x);
-            res.header(RequestHeaders.REQUEST_ID, x.requestId().value());
+            Declarations current = declarations.get();
+            Exchange exchange = createExchange(req, headers, current.service(service), now);
+            identify.apply(exchange);
+            requireService(exchange, service, current);
+            limits.apply(exchange);
+            res.header(RequestHeaders.REQUEST_ID, exchange.requestId().value());
             HttpMethod method = req.method();
             String type = req.requestHeaders().get("Content-Type");
             ServiceCall serviceCall = new ServiceCall(service, method.name(), path, type, call.body());
             if (headers.idempotencyKey() == null) {
-                return runner.run(x, serviceCall).flatMap(r -> write(res, r));
+                return runner.run(exchange, serviceCall).flatMap(reply -> respond(res, reply));
             }
             return keyed.handle(
-                    x,
+                    exchange,
                     call,
-                    () -> runner.run(x, serviceCall).flux(),
-                    parts -> parts.next().flatMap(r -> write(res, r)));
+                    () -> runner.run(exchange, serviceCall).flux(),
+                    parts -> parts.next().flatMap(reply -> respond(res, reply)));
         } catch (RefusalException e) {
             return Mono.error(e);
         }
     }
 
-    private static Exchange exchange(HttpServerRequest req, RequestHeaders headers, ServiceSpec spec, long now) {
-        ServiceSpec rules = spec == null ? new ServiceSpec(null, null) : spec;
-        boolean usual = rules.repeatableMethods().contains(req.method().name());
-        boolean repeatable = headers.repeatable() == null ? usual : headers.repeatable();
-        long deadline = headers.deadlineMillis() == 0 ? rules.timeoutMillis() : headers.deadlineMillis();
+    private static Exchange createExchange(HttpServerRequest req, RequestHeaders headers, ServiceSpec spec, long now) {
+        ServiceSpec effectiveSpec = spec == null ? new ServiceSpec(null, null) : spec;
+        boolean repeatableByDefault =
+                effectiveSpec.repeatableMethods().contains(req.method().name());
+        boolean repeatable = headers.repeatable() == null ? repeatableByDefault : headers.repeatable();
+        long deadline = headers.deadlineMillis() == 0 ? effectiveSpec.timeoutMillis() : headers.deadlineMillis();
         return new Exchange(headers, null, repeatable, now, deadline);
     }
 
-    private static void requireService(Exchange x, ServiceId service, Declarations declared) throws RefusalException {
-        if (!x.workspaceSpec().services().contains(service) || declared.service(service) == null) {
+    private static void requireService(Exchange exchange, ServiceId service, Declarations current)
+            throws RefusalException {
+        if (!exchange.workspaceSpec().services().contains(service) || current.service(service) == null) {
             throw new RefusalException(ProblemType.UNKNOWN_SERVICE, "the workspace has no service of that name");
         }
     }
 
-    private static ServiceId service(String name) throws RefusalException {
+    private static ServiceId parseServiceId(String name) throws RefusalException {
         try {
             return new ServiceId(name);
         } catch (IllegalArgumentException e) {
@@ -150,7 +152,7 @@
         }
     }
 
-    private Mono<Void> write(HttpServerResponse res, ServiceReply reply) {
+    private Mono<Void> respond(HttpServerResponse res, ServiceReply reply) {
         counters.countAnswer();
         if (reply.contentType() != null) {
             res.header("Content-Type", reply.contentType());
--- a/entry/src/main/java/org/hallwall/entry/request/package-info.java
+++ b/entry/src/main/java/org/hallwall/entry/request/package-info.java
@@ -16,5 +16,5 @@
  * specific language governing permissions and limitations
  * under the License.
  */
-/** The path of a caller's request: one filter a class, from receiving it to settling it. */
+/** HTTP server of the public API, with the handlers and filters of requests. */
 package org.hallwall.entry.request;
