--- a/entry/src/main/java/org/hallwall/entry/request/ServiceHandler.java
+++ b/entry/src/main/java/org/hallwall/entry/request/ServiceHandler.java
@@ -28,7 +28,7 @@
 import org.hallwall.entry.exchange.Exchange;
 import org.hallwall.entry.exchange.RequestHeaders;
 import org.hallwall.entry.limit.WorkspaceLimits;
-import org.hallwall.entry.relay.RelayCounters;
+import org.hallwall.entry.relay.RelayMetrics;
 import org.hallwall.entry.relay.ServiceCall;
 import org.hallwall.entry.relay.ServiceReply;
 import org.hallwall.entry.relay.ServiceRunner;
@@ -46,41 +46,41 @@
     public static final String PATH_PREFIX = "/services/";
 
     private final BodyReader bodies;
-    private final IdentifyFilter identify;
+    private final AuthenticationFilter authentication;
     private final WorkspaceLimits limits;
     private final Supplier<Declarations> declarations;
     private final ServiceRunner runner;
-    private final KeyedHandler<ServiceReply> keyed;
-    private final RelayCounters counters;
+    private final IdempotencyKeyHandler<ServiceReply> keyed;
+    private final RelayMetrics metrics;
     private final RefusalResponder responder;
 
     /**
      * Creates the handler.
      *
      * @param bodies the reader of request bodies
-     * @param identify the filter that authenticates a request
+     * @param authentication the filter that authenticates a request
      * @param limits the limits of workspaces
      * @param declarations supplies the current declarations
      * @param runner the runner of service calls
      * @param keyed the handler of calls with an idempotency key
-     * @param counters the metrics of the request path
+     * @param metrics the metrics of the request path
      */
     public ServiceHandler(
             BodyReader bodies,
-            IdentifyFilter identify,
+            AuthenticationFilter authentication,
             WorkspaceLimits limits,
             Supplier<Declarations> declarations,
             ServiceRunner runner,
-            KeyedHandler<ServiceReply> keyed,
-            RelayCounters counters) {
+            IdempotencyKeyHandler<ServiceReply> keyed,
+            RelayMetrics metrics) {
         this.bodies = bodies;
-        this.identify = identify;
+        this.authentication = authentication;
         this.limits = limits;
         this.declarations = declarations;
         this.runner = runner;
         this.keyed = keyed;
-        this.counters = counters;
-        this.responder = new RefusalResponder(counters);
+        this.metrics = metrics;
+        this.responder = new RefusalResponder(metrics);
     }
 
     /**
@@ -93,22 +93,22 @@
     public Publisher<Void> handle(HttpServerRequest req, HttpServerResponse res) {
         long now = Ticker.SYSTEM.millis();
         return bodies.read(req)
-                .flatMap(body -> dispatch(new KeyedHandler.HttpCall(req, res, body), now))
+                .flatMap(body -> dispatch(new IdempotencyKeyHandler.HttpCall(req, res, body), now))
                 .onErrorResume(e -> responder.respond(res, e, null));
     }
 
-    private Mono<Void> dispatch(KeyedHandler.HttpCall call, long now) {
+    private Mono<Void> dispatch(IdempotencyKeyHandler.HttpCall call, long now) {
         HttpServerRequest req = call.req();
         HttpServerResponse res = call.res();
         try {
-            RequestHeaders headers = RequestHeaders.read(req.requestHeaders());
+            RequestHeaders headers = RequestHeaders.parse(req.requestHeaders());
             String rest = req.uri().substring(PATH_PREFIX.length());
             int slash = rest.indexOf('/');
             ServiceId service = parseServiceId(slash < 0 ? rest : rest.substring(0, slash));
             String path = slash < 0 ? "/" : rest.substring(slash);
             Declarations current = declarations.get();
-            Exchange exchange = createExchange(req, headers, current.service(service), now);
-            identify.apply(exchange);
+            Exchange exchange = createExchange(req, headers, current.serviceSpec(service), now);
+            authentication.apply(exchange);
             requireService(exchange, service, current);
             limits.apply(exchange);
             res.header(RequestHeaders.REQUEST_ID, exchange.requestId().value());
@@ -139,7 +139,7 @@
 
     private static void requireService(Exchange exchange, ServiceId service, Declarations current)
             throws RefusalException {
-        if (!exchange.workspaceSpec().services().contains(service) || current.service(service) == null) {
+        if (!exchange.workspaceSpec().services().contains(service) || current.serviceSpec(service) == null) {
             throw new RefusalException(ProblemType.UNKNOWN_SERVICE, "the workspace has no service of that name");
         }
     }
@@ -153,7 +153,7 @@
     }
 
     private Mono<Void> respond(HttpServerResponse res, ServiceReply reply) {
-        counters.countAnswer();
+        metrics.countAnswer();
         if (reply.contentType() != null) {
             res.header("Content-Type", reply.contentType());
         }
--- a/entry/src/main/java/org/hallwall/entry/routing/Assignment.java
+++ b/entry/src/main/java/org/hallwall/entry/routing/Assignment.java
@@ -20,7 +20,7 @@
 
 import java.util.concurrent.atomic.AtomicBoolean;
 
-import org.hallwall.core.id.FencingNumber;
+import org.hallwall.core.id.FencingToken;
 import org.hallwall.core.id.GroupId;
 import org.hallwall.core.settings.NetAddress;
 import reactor.core.publisher.Mono;
@@ -29,20 +29,20 @@
 /** The assignment of a request to a group. Must be released when the run completes, fails or is cancelled. */
 public final class Assignment {
 
-    private final GroupSlot slot;
+    private final GroupRoutingState state;
     private final Dispatcher dispatcher;
     private final NetAddress head;
-    private final FencingNumber fencing;
+    private final FencingToken fencing;
     private final AtomicBoolean released = new AtomicBoolean();
     private final Sinks.Empty<Void> suspectSignal = Sinks.empty();
     private final Sinks.Empty<Void> lostSignal = Sinks.empty();
 
-    Assignment(GroupSlot slot, Dispatcher dispatcher) {
-        this.slot = slot;
+    Assignment(GroupRoutingState state, Dispatcher dispatcher) {
+        this.state = state;
         this.dispatcher = dispatcher;
-        this.head = slot.view().head().announcement().address();
-        this.fencing = slot.view().membership().fencing();
-        slot.addAssignment(this);
+        this.head = state.view().head().announcement().address();
+        this.fencing = state.view().membership().fencing();
+        state.addAssignment(this);
     }
 
     /**
@@ -51,7 +51,7 @@
      * @return the id of the group
      */
     public GroupId group() {
-        return slot.group();
+        return state.group();
     }
 
     /**
@@ -59,7 +59,7 @@
      *
      * @return the fencing number
      */
-    public FencingNumber fencing() {
+    public FencingToken fencing() {
         return fencing;
     }
 
@@ -78,7 +78,7 @@
      * @return true if it is complete
      */
     public boolean isGroupComplete() {
-        return dispatcher.isComplete(slot);
+        return dispatcher.isComplete(state);
     }
 
     /**
@@ -106,7 +106,7 @@
      * @param millis the time in milliseconds
      */
     public void recordFirstToken(double millis) {
-        slot.recordFirstToken(millis);
+        state.recordFirstToken(millis);
     }
 
     /**
@@ -116,8 +116,8 @@
      */
     public void release(boolean failed) {
         if (released.compareAndSet(false, true)) {
-            slot.removeAssignment(this);
-            dispatcher.release(slot, failed);
+            state.removeAssignment(this);
+            dispatcher.release(state, failed);
         }
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/routing/Dispatcher.java
+++ b/entry/src/main/java/org/hallwall/entry/routing/Dispatcher.java
@@ -27,8 +27,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.random.RandomGenerator;
 
-import org.hallwall.core.duty.DutyState;
-import org.hallwall.core.duty.DutyThread;
+import org.hallwall.core.duty.EventLoopState;
+import org.hallwall.core.duty.EventLoopThread;
 import org.hallwall.core.id.ModelGroupId;
 import org.hallwall.core.id.WorkspaceId;
 import org.hallwall.core.time.Ticker;
@@ -52,18 +52,18 @@
 
     private static final Duration NO_GROUP_RETRY_AFTER = Duration.ofSeconds(2);
 
-    private final GroupTable table;
+    private final RoutingTable table;
     private final DomainTiming timing;
     private final RoutingPolicy policy;
     private final RandomGenerator random;
     private final Ticker ticker;
     private final int maxQueued;
-    private final DutyThread dispatchThread;
+    private final EventLoopThread dispatchThread;
     private final Map<ModelGroupId, RequestQueue> queues = new HashMap<>();
     private final Map<ModelGroupId, DrainRate> drainRates = new HashMap<>();
     private final Map<WorkspaceId, Integer> queuedByWorkspace = new HashMap<>();
-    private final AtomicLong dispatched = new AtomicLong();
-    private volatile int queued;
+    private final AtomicLong assignmentsMade = new AtomicLong();
+    private volatile int queuedRequests;
     private long lastRefreshMillis;
 
     /**
@@ -77,7 +77,7 @@
      * @param maxQueued the maximum number of queued requests
      */
     public Dispatcher(
-            GroupTable table,
+            RoutingTable table,
             DomainTiming timing,
             RoutingPolicy policy,
             RandomGenerator random,
@@ -89,7 +89,7 @@
         this.random = random;
         this.ticker = ticker;
         this.maxQueued = maxQueued;
-        this.dispatchThread = new DutyThread("dispatch", RING_CAPACITY, TICK_MILLIS, this::tick);
+        this.dispatchThread = new EventLoopThread("dispatch", RING_CAPACITY, TICK_MILLIS, this::tick);
     }
 
     /** Starts the dispatch thread. */
@@ -127,8 +127,8 @@
      *
      * @return the number of requests
      */
-    public int queued() {
-        return queued;
+    public int queuedRequests() {
+        return queuedRequests;
     }
 
     /**
@@ -136,8 +136,8 @@
      *
      * @return the number of assignments
      */
-    public long dispatched() {
-        return dispatched.get();
+    public long assignmentsMade() {
+        return assignmentsMade.get();
     }
 
     /**
@@ -145,7 +145,7 @@
      *
      * @return the state
      */
-    public DutyState dutyState() {
+    public EventLoopState dutyState() {
         return dispatchThread.state();
     }
 
@@ -154,16 +154,16 @@
         dispatchThread.close();
     }
 
-    boolean isComplete(GroupSlot slot) {
-        return slot.view().isComplete(ticker.millis(), timing.announceLease());
+    boolean isComplete(GroupRoutingState state) {
+        return state.view().isComplete(ticker.millis(), timing.announcementTtl());
     }
 
-    void release(GroupSlot slot, boolean failed) {
-        slot.runEnded();
+    void release(GroupRoutingState state, boolean failed) {
+        state.runEnded();
         if (failed) {
-            slot.startCooldown(ticker.millis() + FAILURE_COOLDOWN_MILLIS);
+            state.startCooldown(ticker.millis() + FAILURE_COOLDOWN_MILLIS);
         }
-        ModelGroupId modelGroup = slot.view().membership().modelGroup();
+        ModelGroupId modelGroup = state.view().membership().modelGroup();
         dispatchThread.offer(() -> {
             drainRate(modelGroup).recordCompletion(ticker.millis());
             dispatchQueued(modelGroup, ticker.millis());
@@ -209,7 +209,9 @@
         Duration retryAfter =
                 rate.estimateWait(requests.countAhead(exchange.headers().priority()) + 1, now);
         boolean exceedsDeadline = rate.hasEstimate() && now + retryAfter.toMillis() > exchange.deadlineAt();
-        if (queued >= maxQueued || workspaceLimit != null && workspaceQueued >= workspaceLimit || exceedsDeadline) {
+        if (queuedRequests >= maxQueued
+                || workspaceLimit != null && workspaceQueued >= workspaceLimit
+                || exceedsDeadline) {
             request.refuse(refusal(ProblemType.QUEUE_FULL, "too many requests wait for this model", retryAfter));
             return;
         }
@@ -233,7 +235,7 @@
             request.refuse(refusal(
                     ProblemType.NO_COMPLETE_GROUP, "no complete group serves the model here", NO_GROUP_RETRY_AFTER));
         } else {
-            Duration retryAfter = drainRate(request.exchange().modelGroup()).estimateWait(queued + 1, now);
+            Duration retryAfter = drainRate(request.exchange().modelGroup()).estimateWait(queuedRequests + 1, now);
             request.refuse(
                     refusal(ProblemType.DEADLINE_EXCEEDED, "the deadline passed while the request waited", retryAfter));
         }
@@ -255,7 +257,7 @@
     }
 
     private boolean hasCapacity(ModelGroupId modelGroup, long now) {
-        for (GroupSlot s : table.usable(modelGroup, now)) {
+        for (GroupRoutingState s : table.usableGroups(modelGroup, now)) {
             if (s.hasCapacity()) {
                 return true;
             }
@@ -264,8 +266,8 @@
     }
 
     private boolean assign(PendingRequest request, long now) {
-        List<GroupSlot> candidates = new ArrayList<>();
-        for (GroupSlot s : table.usable(request.exchange().modelGroup(), now)) {
+        List<GroupRoutingState> candidates = new ArrayList<>();
+        for (GroupRoutingState s : table.usableGroups(request.exchange().modelGroup(), now)) {
             boolean fits = s.view().hasAdapter(request.exchange().adapter());
             if (fits && s.hasCapacity() && !request.exchange().hasFailedOn(s.group())) {
                 candidates.add(s);
@@ -274,25 +276,26 @@
         if (candidates.isEmpty()) {
             return false;
         }
-        GroupSlot chosen =
+        GroupRoutingState chosen =
                 policy.choose(excludeSlow(candidates), request.exchange().chat().prompt(), random);
         chosen.runStarted();
-        dispatched.incrementAndGet();
+        assignmentsMade.incrementAndGet();
         request.assign(new Assignment(chosen, this));
         return true;
     }
 
     /** Excludes slow groups, except from one choice in sixteen so that their recovery is detected. */
-    private List<GroupSlot> excludeSlow(List<GroupSlot> candidates) {
+    private List<GroupRoutingState> excludeSlow(List<GroupRoutingState> candidates) {
         if (random.nextInt(SLOW_PROBE_INTERVAL) == 0) {
             return candidates;
         }
-        List<GroupSlot> fast = candidates.stream().filter(s -> !s.isSlow()).toList();
+        List<GroupRoutingState> fast =
+                candidates.stream().filter(s -> !s.isSlow()).toList();
         return fast.isEmpty() ? candidates : fast;
     }
 
     private void adjustQueued(PendingRequest request, int change) {
-        queued += change;
+        queuedRequests += change;
         queuedByWorkspace.merge(request.exchange().workspace(), change, Integer::sum);
     }
 
--- a/entry/src/main/java/org/hallwall/entry/routing/GroupSlot.java
+++ b/entry/src/main/java/org/hallwall/entry/routing/GroupRoutingState.java
@@ -23,12 +23,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 import org.hallwall.core.id.GroupId;
+import org.hallwall.domain.AnnouncedTarget;
 import org.hallwall.domain.GroupView;
-import org.hallwall.domain.KnownTarget;
 import org.hallwall.engine.TargetLoad;
 
 /** Routing state of one group: its latest announced view, the load from this entry, and its health. */
-public final class GroupSlot {
+public final class GroupRoutingState {
 
     private static final double SMOOTHING = 0.2;
     private static final double OVERCOMMIT_FACTOR = 1.25;
@@ -50,15 +50,15 @@
      *
      * @param view the group as announced by its members
      */
-    public GroupSlot(GroupView view) {
+    public GroupRoutingState(GroupView view) {
         this.group = view.group();
         this.view = view;
     }
 
     void update(GroupView newView, boolean isDraining) {
-        KnownTarget oldHead = view.head();
-        KnownTarget newHead = newView.head();
-        if (oldHead == null || newHead == null || oldHead.heardAt() != newHead.heardAt()) {
+        AnnouncedTarget oldHead = view.head();
+        AnnouncedTarget newHead = newView.head();
+        if (oldHead == null || newHead == null || oldHead.announcedAt() != newHead.announcedAt()) {
             outstandingAtLastReport = outstanding.get();
         }
         view = newView;
@@ -132,7 +132,7 @@
      */
     public boolean isServing(long now, long lease) {
         GroupView v = view;
-        return !draining && !v.leaving() && v.isComplete(now, lease) && v.head() != null && v.servesWhole();
+        return !draining && !v.leaving() && v.isComplete(now, lease) && v.head() != null && v.servesFullRequests();
     }
 
     /**
@@ -167,7 +167,7 @@
 
     /** Signals to the runs in progress that the group is suspected or lost. */
     void notifyAssignments(long now, long suspectAfter, long lostAfter) {
-        long silence = view.isIntact() ? now - view.heardAt() : Long.MAX_VALUE;
+        long silence = view.hasAllMembers() ? now - view.oldestAnnouncementAt() : Long.MAX_VALUE;
         for (Assignment a : assignments) {
             if (silence >= lostAfter) {
                 a.notifyLost();
@@ -196,7 +196,7 @@
     }
 
     private TargetLoad reportedLoad() {
-        KnownTarget head = view.head();
+        AnnouncedTarget head = view.head();
         return head == null ? TargetLoad.NONE : head.announcement().load();
     }
 }
--- a/entry/src/main/java/org/hallwall/entry/routing/RoutingPolicy.java
+++ b/entry/src/main/java/org/hallwall/entry/routing/RoutingPolicy.java
@@ -30,27 +30,27 @@
     /** Chooses a group uniformly at random. */
     RANDOM {
         @Override
-        GroupSlot choose(List<GroupSlot> groups, String prompt, RandomGenerator random) {
+        GroupRoutingState choose(List<GroupRoutingState> groups, String prompt, RandomGenerator random) {
             return groups.get(random.nextInt(groups.size()));
         }
     },
     /** Chooses the less loaded of two random groups (power of two choices). */
     LEAST_OUTSTANDING {
         @Override
-        GroupSlot choose(List<GroupSlot> groups, String prompt, RandomGenerator random) {
+        GroupRoutingState choose(List<GroupRoutingState> groups, String prompt, RandomGenerator random) {
             return lessLoadedOfTwo(groups, random);
         }
     },
     /** Rendezvous hashing on the prefix of the prompt with bounded loads, for reuse of cached prefixes. */
     PREFIX_AFFINITY {
         @Override
-        GroupSlot choose(List<GroupSlot> groups, String prompt, RandomGenerator random) {
+        GroupRoutingState choose(List<GroupRoutingState> groups, String prompt, RandomGenerator random) {
             double maxLoad = averageLoad(groups) * LOAD_FACTOR + 1;
             String prefix = prompt.substring(0, Math.min(prompt.length(), PREFIX_LENGTH));
-            List<GroupSlot> ranked = groups.stream()
-                    .sorted(Comparator.comparingLong((GroupSlot g) -> rank(prefix, g)))
+            List<GroupRoutingState> ranked = groups.stream()
+                    .sorted(Comparator.comparingLong((GroupRoutingState g) -> rank(prefix, g)))
                     .toList();
-            for (GroupSlot g : ranked) {
+            for (GroupRoutingState g : ranked) {
                 if (g.estimatedLoad() < maxLoad) {
                     return g;
                 }
@@ -62,23 +62,23 @@
     private static final double LOAD_FACTOR = 1.25;
     private static final int PREFIX_LENGTH = 512;
 
-    abstract GroupSlot choose(List<GroupSlot> groups, String prompt, RandomGenerator random);
+    abstract GroupRoutingState choose(List<GroupRoutingState> groups, String prompt, RandomGenerator random);
 
-    private static GroupSlot lessLoadedOfTwo(List<GroupSlot> groups, RandomGenerator random) {
-        GroupSlot a = groups.get(random.nextInt(groups.size()));
-        GroupSlot b = groups.get(random.nextInt(groups.size()));
+    private static GroupRoutingState lessLoadedOfTwo(List<GroupRoutingState> groups, RandomGenerator random) {
+        GroupRoutingState a = groups.get(random.nextInt(groups.size()));
+        GroupRoutingState b = groups.get(random.nextInt(groups.size()));
         return a.estimatedLoad() <= b.estimatedLoad() ? a : b;
     }
 
-    private static double averageLoad(List<GroupSlot> groups) {
+    private static double averageLoad(List<GroupRoutingState> groups) {
         double sum = 0;
-        for (GroupSlot g : groups) {
+        for (GroupRoutingState g : groups) {
             sum += g.estimatedLoad();
         }
         return sum / groups.size();
     }
 
-    private static long rank(String prefix, GroupSlot g) {
+    private static long rank(String prefix, GroupRoutingState g) {
         byte[] bytes = (prefix + '\n' + g.group()).getBytes(StandardCharsets.UTF_8);
         return MurmurHash3.hash128x64(bytes)[0];
     }
--- a/entry/src/main/java/org/hallwall/entry/routing/GroupTable.java
+++ b/entry/src/main/java/org/hallwall/entry/routing/RoutingTable.java
@@ -34,7 +34,7 @@
 import org.hallwall.domain.TargetDirectory;
 
 /** Routing table of the groups that this entry can use. Refreshed by the dispatch thread, readable from any thread. */
-public final class GroupTable {
+public final class RoutingTable {
 
     private static final double SLOW_FACTOR = 3;
     private static final int MAX_SLOW_DIVISOR = 3;
@@ -43,8 +43,8 @@
 
     private final TargetDirectory directory;
     private final DomainTiming timing;
-    private final Map<GroupId, GroupSlot> slots = new ConcurrentHashMap<>();
-    private final Map<GroupId, Long> drainingUntil = new ConcurrentHashMap<>();
+    private final Map<GroupId, GroupRoutingState> slots = new ConcurrentHashMap<>();
+    private final Map<GroupId, Long> drainDeadlines = new ConcurrentHashMap<>();
 
     /**
      * Creates an empty table.
@@ -52,7 +52,7 @@
      * @param directory the announcements of targets
      * @param timing the timeouts of the failure domain
      */
-    public GroupTable(TargetDirectory directory, DomainTiming timing) {
+    public RoutingTable(TargetDirectory directory, DomainTiming timing) {
         this.directory = directory;
         this.timing = timing;
     }
@@ -65,7 +65,7 @@
      */
     public void drain(List<GroupId> groups, long until) {
         for (GroupId g : groups) {
-            drainingUntil.put(g, until);
+            drainDeadlines.put(g, until);
         }
     }
 
@@ -77,9 +77,9 @@
      */
     public Map<String, Integer> outstandingOnDraining(long now) {
         Map<String, Integer> out = new TreeMap<>();
-        for (Map.Entry<GroupId, Long> e : drainingUntil.entrySet()) {
+        for (Map.Entry<GroupId, Long> e : drainDeadlines.entrySet()) {
             if (e.getValue() > now) {
-                GroupSlot s = slots.get(e.getKey());
+                GroupRoutingState s = slots.get(e.getKey());
                 out.put(e.getKey().value(), s == null ? 0 : s.outstanding());
             }
         }
@@ -92,13 +92,14 @@
      * @param now the current time in milliseconds
      */
     public void refresh(long now) {
-        drainingUntil.values().removeIf(until -> until <= now);
+        drainDeadlines.values().removeIf(until -> until <= now);
         Map<GroupId, GroupView> views = GroupViews.of(directory.list());
         for (GroupView v : views.values()) {
-            slots.computeIfAbsent(v.group(), g -> new GroupSlot(v)).update(v, drainingUntil.containsKey(v.group()));
+            slots.computeIfAbsent(v.group(), g -> new GroupRoutingState(v))
+                    .update(v, drainDeadlines.containsKey(v.group()));
         }
-        for (GroupSlot s : slots.values()) {
-            s.notifyAssignments(now, timing.announceLease() + SUSPECT_GRACE_MILLIS, timing.deadAfter());
+        for (GroupRoutingState s : slots.values()) {
+            s.notifyAssignments(now, timing.announcementTtl() + SUSPECT_GRACE_MILLIS, timing.memberTimeout());
         }
         slots.values().removeIf(s -> !views.containsKey(s.group()) && s.outstanding() == 0);
         markSlow();
@@ -111,11 +112,11 @@
      * @param now the current time in milliseconds
      * @return the groups
      */
-    public List<GroupSlot> usable(ModelGroupId modelGroup, long now) {
-        List<GroupSlot> out = new ArrayList<>();
-        for (GroupSlot s : slots.values()) {
+    public List<GroupRoutingState> usableGroups(ModelGroupId modelGroup, long now) {
+        List<GroupRoutingState> out = new ArrayList<>();
+        for (GroupRoutingState s : slots.values()) {
             boolean matches = s.view().membership().modelGroup().equals(modelGroup);
-            if (matches && s.isUsable(now, timing.announceLease())) {
+            if (matches && s.isUsable(now, timing.announcementTtl())) {
                 out.add(s);
             }
         }
@@ -130,9 +131,9 @@
      * @return true if at least one group serves it
      */
     public boolean serves(ModelGroupId modelGroup, long now) {
-        for (GroupSlot s : slots.values()) {
+        for (GroupRoutingState s : slots.values()) {
             boolean matches = s.view().membership().modelGroup().equals(modelGroup);
-            if (matches && s.isServing(now, timing.announceLease())) {
+            if (matches && s.isServing(now, timing.announcementTtl())) {
                 return true;
             }
         }
@@ -145,7 +146,7 @@
      * @param group the group
      * @return the state, or null if the group is unknown
      */
-    public GroupSlot get(GroupId group) {
+    public GroupRoutingState get(GroupId group) {
         return slots.get(group);
     }
 
@@ -154,23 +155,23 @@
      *
      * @return the states
      */
-    public List<GroupSlot> all() {
+    public List<GroupRoutingState> all() {
         return new ArrayList<>(slots.values());
     }
 
     /** Marks groups as slow whose time to first token is far above the median; at most a third of each model group. */
     private void markSlow() {
-        Map<ModelGroupId, List<GroupSlot>> byModel = new HashMap<>();
-        for (GroupSlot s : slots.values()) {
+        Map<ModelGroupId, List<GroupRoutingState>> byModel = new HashMap<>();
+        for (GroupRoutingState s : slots.values()) {
             byModel.computeIfAbsent(s.view().membership().modelGroup(), m -> new ArrayList<>())
                     .add(s);
         }
-        byModel.values().forEach(GroupTable::markSlowGroups);
+        byModel.values().forEach(RoutingTable::markSlowGroups);
     }
 
-    private static void markSlowGroups(List<GroupSlot> groups) {
+    private static void markSlowGroups(List<GroupRoutingState> groups) {
         double[] times = groups.stream()
-                .mapToDouble(GroupSlot::firstTokenMillis)
+                .mapToDouble(GroupRoutingState::firstTokenMillis)
                 .filter(t -> t > 0)
                 .toArray();
         Arrays.sort(times);
--- a/entry/src/test/java/org/hallwall/entry/claim/ClaimStoreTest.java
+++ b/entry/src/test/java/org/hallwall/entry/claim/ClaimStoreTest.java
@@ -23,7 +23,7 @@
 
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.verdict.Verdict;
-import org.hallwall.entry.claim.ClaimMessage.Answer.Kind;
+import org.hallwall.entry.claim.ClaimMessage.GrantReply.Kind;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -56,22 +56,25 @@
     @Test
     void grantsOnlyKeysIssuedAfterStartWithoutHistory() {
         ClaimStore fresh = new ClaimStore(now::get, WALL);
-        assertEquals(Kind.GRANTED_UNSURE, fresh.ask(grantRequest("k", "c", 0)).kind());
         assertEquals(
                 Kind.GRANTED_UNSURE,
-                fresh.ask(grantRequest("k2", "c", WALL - 1)).kind());
+                fresh.requestGrant(grantRequest("k", "c", 0)).kind());
         assertEquals(
-                Kind.GRANTED, fresh.ask(grantRequest("k3", "c", WALL + 60_000)).kind());
+                Kind.GRANTED_UNSURE,
+                fresh.requestGrant(grantRequest("k2", "c", WALL - 1)).kind());
+        assertEquals(
+                Kind.GRANTED,
+                fresh.requestGrant(grantRequest("k3", "c", WALL + 60_000)).kind());
         now.addAndGet(ClaimStore.KEY_RETENTION_MILLIS + 1);
-        assertTrue(fresh.isSure(), "the history is complete after the retention time");
+        assertTrue(fresh.hasCompleteHistory(), "the history is complete after the retention time");
     }
 
     @Test
     void releasesKeyOnlyIfRequestDidNotRun() {
         requestGrant("k1", "c1");
         requestGrant("k2", "c1");
-        store.settle(new ClaimMessage.Settle("k1", "c1", Verdict.NOT_RUN, null));
-        store.settle(new ClaimMessage.Settle("k2", "c1", Verdict.MAY_HAVE_RUN, null));
+        store.complete(new ClaimMessage.CompletionRequest("k1", "c1", Verdict.NOT_RUN, null));
+        store.complete(new ClaimMessage.CompletionRequest("k2", "c1", Verdict.MAY_HAVE_RUN, null));
         assertEquals(Kind.GRANTED, requestGrant("k1", "c2"));
         assertEquals(Kind.KNOWN, requestGrant("k2", "c2"));
     }
@@ -79,7 +82,7 @@
     @Test
     void ignoresCompletionOfAnotherClaim() {
         requestGrant("k", "c1");
-        assertFalse(store.settle(new ClaimMessage.Settle("k", "c2", Verdict.NOT_RUN, null)));
+        assertFalse(store.complete(new ClaimMessage.CompletionRequest("k", "c2", Verdict.NOT_RUN, null)));
         assertEquals(Kind.KNOWN, requestGrant("k", "c2"));
     }
 
@@ -88,14 +91,18 @@
         for (int i = 0; i < 20; i++) {
             requestGrant("k" + i, "c");
             StoredAnswer answer = new StoredAnswer(200, null, new byte[1024 * 1024], null, null);
-            store.settle(new ClaimMessage.Settle("k" + i, "c", Verdict.RAN, answer));
+            store.complete(new ClaimMessage.CompletionRequest("k" + i, "c", Verdict.RAN, answer));
         }
         assertEquals(20, store.size());
         assertTrue(store.answerBytes() <= 8L * 1024 * 1024);
-        assertNull(store.ask(grantRequest("k0", "other", 0)).known().answer());
+        assertNull(store.requestGrant(grantRequest("k0", "other", 0)).known().answer());
         assertEquals(
                 1024 * 1024,
-                store.ask(grantRequest("k19", "other", 0)).known().answer().body().length);
+                store.requestGrant(grantRequest("k19", "other", 0))
+                        .known()
+                        .answer()
+                        .body()
+                        .length);
     }
 
     @Test
@@ -127,10 +134,10 @@
     }
 
     private Kind requestGrant(String key, String claim) {
-        return store.ask(grantRequest(key, claim, 0)).kind();
+        return store.requestGrant(grantRequest(key, claim, 0)).kind();
     }
 
-    private static ClaimMessage.Ask grantRequest(String key, String claim, long mintedAt) {
-        return new ClaimMessage.Ask(key, mintedAt, claim, "body", OWNER);
+    private static ClaimMessage.GrantRequest grantRequest(String key, String claim, long mintedAt) {
+        return new ClaimMessage.GrantRequest(key, mintedAt, claim, "body", OWNER);
     }
 }
--- a/entry/src/test/java/org/hallwall/entry/limit/RetryBudgetTest.java
+++ b/entry/src/test/java/org/hallwall/entry/limit/RetryBudgetTest.java
@@ -43,13 +43,13 @@
     void recoversWithSuccesses() {
         RetryBudget budget = new RetryBudget();
         while (budget.tryAcquire()) {
-            assertTrue(budget.spent() <= MAX_RETRIES);
+            assertTrue(budget.granted() <= MAX_RETRIES);
         }
         for (int i = 0; i < MAX_RETRIES; i++) {
             budget.recordSuccess();
         }
         assertTrue(budget.tryAcquire());
-        assertEquals(11, budget.spent());
+        assertEquals(11, budget.granted());
         assertEquals(1, budget.refused());
     }
 
--- a/examples/src/main/java/org/hallwall/examples/PlanGroups.java
+++ b/examples/src/main/java/org/hallwall/examples/PlanGroups.java
@@ -25,16 +25,16 @@
 
 import org.hallwall.core.id.FabricDomainId;
 import org.hallwall.core.id.FailureDomainId;
-import org.hallwall.core.id.FencingNumber;
+import org.hallwall.core.id.FencingToken;
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.id.ModelGroupId;
 import org.hallwall.core.settings.NetAddress;
+import org.hallwall.domain.AnnouncedTarget;
+import org.hallwall.domain.DesiredModelGroup;
 import org.hallwall.domain.DomainTiming;
 import org.hallwall.domain.GroupPlanInput;
 import org.hallwall.domain.GroupPlanner;
 import org.hallwall.domain.GroupStep;
-import org.hallwall.domain.KnownTarget;
-import org.hallwall.domain.WantedGroup;
 import org.hallwall.engine.Announcement;
 import org.hallwall.resource.ModelGroupSpec;
 import org.hallwall.resource.RepairPolicy;
@@ -64,17 +64,17 @@
      * @return the planned steps
      */
     public static List<GroupStep> plan() {
-        List<KnownTarget> targets = new ArrayList<>();
+        List<AnnouncedTarget> targets = new ArrayList<>();
         for (int i = 0; i < 2 * TARGETS_PER_FABRIC_DOMAIN; i++) {
             targets.add(idleTarget("target-" + i, "fabric-" + i / TARGETS_PER_FABRIC_DOMAIN));
         }
         ModelGroupSpec spec = new ModelGroupSpec("model", "1", null, 2, 2, null, RepairPolicy.GROUP_DOWNTIME, 1);
-        WantedGroup wanted = new WantedGroup(new ModelGroupId("menu"), 1, spec, 2);
-        GroupPlanInput input = new GroupPlanInput(NOW_MILLIS, targets, List.of(wanted), Map.of(), Set.of(), 0);
+        DesiredModelGroup desired = new DesiredModelGroup(new ModelGroupId("menu"), 1, spec, 2);
+        GroupPlanInput input = new GroupPlanInput(NOW_MILLIS, targets, List.of(desired), Map.of(), Set.of(), 0);
         return new GroupPlanner(DomainTiming.DEFAULT).plan(input);
     }
 
-    private static KnownTarget idleTarget(String name, String fabric) {
+    private static AnnouncedTarget idleTarget(String name, String fabric) {
         Announcement announcement = new Announcement(
                 new InstanceId(name),
                 "boot",
@@ -86,13 +86,13 @@
                 true,
                 null,
                 null,
-                FencingNumber.NONE,
+                FencingToken.NONE,
                 null,
                 null,
                 null,
                 null,
                 null,
                 false);
-        return new KnownTarget(announcement, NOW_MILLIS);
+        return new AnnouncedTarget(announcement, NOW_MILLIS);
     }
 }
--- a/fakes/src/main/java/org/hallwall/fakes/FakeBatchScheduler.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeBatchScheduler.java
@@ -40,16 +40,16 @@
     private static final int MAX_RETAINED_RUNS = 2_000;
 
     private final FakeTargetSettings settings;
-    private final FakeAccount account;
+    private final FakeTargetHistory history;
     private final FakePrefixCache cache;
     private final Map<AttemptId, FakeRun> runsByAttempt = new LinkedHashMap<>();
     private final Set<AttemptId> cancelledAttempts = new HashSet<>();
     private final Deque<FakeRun> queue = new ArrayDeque<>();
     private final List<FakeRun> running = new ArrayList<>();
 
-    FakeBatchScheduler(FakeTargetSettings settings, FakeAccount account) {
+    FakeBatchScheduler(FakeTargetSettings settings, FakeTargetHistory history) {
         this.settings = settings;
-        this.account = account;
+        this.history = history;
         this.cache = new FakePrefixCache(settings.cacheBlocks());
     }
 
@@ -65,7 +65,7 @@
         if (runsByAttempt.size() > MAX_RETAINED_RUNS) {
             runsByAttempt.remove(runsByAttempt.keySet().iterator().next());
         }
-        account.recordRunStart(request.attempt(), run.promptHash(), request.group(), System.currentTimeMillis());
+        history.recordRunStart(request.attempt(), run.promptHash(), request.group(), System.currentTimeMillis());
         queue.add(run);
         return run;
     }
@@ -131,7 +131,7 @@
         if (run.end() == null) {
             return false;
         }
-        account.recordRunEnd(run.request().attempt(), run.generatedTokens(), run.end());
+        history.recordRunEnd(run.request().attempt(), run.generatedTokens(), run.end());
         return true;
     }
 
--- a/fakes/src/main/java/org/hallwall/fakes/FakeAnswer.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeCompletion.java
@@ -22,9 +22,9 @@
 import java.util.zip.CRC32C;
 
 /** Generates the responses of fake engines deterministically from the prompt, so that callers can verify them. */
-public final class FakeAnswer {
+public final class FakeCompletion {
 
-    private FakeAnswer() {}
+    private FakeCompletion() {}
 
     /**
      * Returns the hash of a prompt.
@@ -56,7 +56,7 @@
      * @param tokens the number of tokens
      * @return the text
      */
-    public static String whole(String prompt, int tokens) {
+    public static String fullText(String prompt, int tokens) {
         String hash = hash(prompt);
         StringBuilder out = new StringBuilder();
         for (int i = 0; i < tokens; i++) {
--- a/fakes/src/main/java/org/hallwall/fakes/FakeEngineDaemon.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeEngineDaemon.java
@@ -29,7 +29,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
-import org.hallwall.core.duty.DutyThread;
+import org.hallwall.core.duty.EventLoopThread;
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.settings.Json;
 import org.hallwall.core.settings.NetAddress;
@@ -58,9 +58,9 @@
     private final List<FakeTarget> targets = new ArrayList<>();
     private final List<FakeTargetServer> servers = new ArrayList<>();
     private final HttpClient http;
-    private final DutyThread stepper;
-    private final DutyThread announcer;
-    private final DutyThread prober;
+    private final EventLoopThread stepper;
+    private final EventLoopThread announcer;
+    private final EventLoopThread prober;
     private AdminServer admin;
     private int entryIndex;
 
@@ -73,9 +73,9 @@
             targets.add(target);
             servers.add(new FakeTargetServer(target));
         }
-        stepper = new DutyThread("engine", QUEUE_CAPACITY, STEP_INTERVAL_MILLIS, this::step);
-        announcer = new DutyThread("announcer", QUEUE_CAPACITY, settings.announceMillis(), this::announce);
-        prober = new DutyThread("members", QUEUE_CAPACITY, PROBE_INTERVAL_MILLIS, this::probeMembers);
+        stepper = new EventLoopThread("engine", QUEUE_CAPACITY, STEP_INTERVAL_MILLIS, this::step);
+        announcer = new EventLoopThread("announcer", QUEUE_CAPACITY, settings.announceMillis(), this::announce);
+        prober = new EventLoopThread("members", QUEUE_CAPACITY, PROBE_INTERVAL_MILLIS, this::probeMembers);
     }
 
     /**
--- a/fakes/src/main/java/org/hallwall/fakes/FakeMembership.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeMembership.java
@@ -20,7 +20,7 @@
 
 import java.util.List;
 
-import org.hallwall.core.id.FencingNumber;
+import org.hallwall.core.id.FencingToken;
 import org.hallwall.core.id.GroupId;
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.engine.EngineOrder;
@@ -31,17 +31,17 @@
 
     private final FakeTargetSettings settings;
     private final FakeWeightStore weights;
-    private final FakeAccount account;
+    private final FakeTargetHistory history;
     private EngineOrder joinOrder;
-    private FencingNumber highestFencing = FencingNumber.NONE;
+    private FencingToken highestFencing = FencingToken.NONE;
     private String loadedModel;
     private String loadedVersion;
     private long loadEndMillis;
 
-    FakeMembership(FakeTargetSettings settings, FakeWeightStore weights, FakeAccount account) {
+    FakeMembership(FakeTargetSettings settings, FakeWeightStore weights, FakeTargetHistory history) {
         this.settings = settings;
         this.weights = weights;
-        this.account = account;
+        this.history = history;
     }
 
     /** Applies an order; returns null on success or the reason for the refusal. */
@@ -61,7 +61,7 @@
             joinOrder = order;
             loadIfNeeded(order, now);
         }
-        account.recordGroupChange(joinOrder == null ? null : order.group(), order.fencing(), wallClock);
+        history.recordGroupChange(joinOrder == null ? null : order.group(), order.fencing(), wallClock);
         return null;
     }
 
@@ -103,7 +103,7 @@
         return joinOrder;
     }
 
-    synchronized FencingNumber highestFencing() {
+    synchronized FencingToken highestFencing() {
         return highestFencing;
     }
 
@@ -133,5 +133,5 @@
      * @param reason the reason, as text
      * @param held the highest fencing number accepted so far
      */
-    record Refusal(String reason, FencingNumber held) {}
+    record Refusal(String reason, FencingToken held) {}
 }
--- a/fakes/src/main/java/org/hallwall/fakes/FakeRun.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeRun.java
@@ -49,7 +49,7 @@
 
     FakeRun(EngineRun request, int promptTokens, int cachedTokens) {
         this.request = request;
-        this.promptHash = FakeAnswer.hash(request.prompt());
+        this.promptHash = FakeCompletion.hash(request.prompt());
         this.promptTokens = promptTokens;
         this.cachedTokens = cachedTokens;
     }
@@ -82,7 +82,7 @@
     synchronized void generate(double now, double millisPerToken) {
         while (end == null && firstTokenMillis + generatedTokens * millisPerToken <= now) {
             addFrame(new RunFrame(
-                    request.attempt(), generatedTokens, FakeAnswer.token(promptHash, generatedTokens), null, null));
+                    request.attempt(), generatedTokens, FakeCompletion.token(promptHash, generatedTokens), null, null));
             generatedTokens++;
             if (generatedTokens >= request.maxTokens()) {
                 finish(RunFrame.End.STOP);
--- a/fakes/src/main/java/org/hallwall/fakes/FakeTarget.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeTarget.java
@@ -48,7 +48,7 @@
     private final FakeTargetSettings settings;
     private final String bootId = UUID.randomUUID().toString();
     private final AtomicLong sequence = new AtomicLong();
-    private final FakeAccount account = new FakeAccount();
+    private final FakeTargetHistory history = new FakeTargetHistory();
     private final FakeBatchScheduler scheduler;
     private final FakeMembership membership;
     private final Map<InstanceId, Long> memberSeenMillis = new ConcurrentHashMap<>();
@@ -60,16 +60,16 @@
 
     FakeTarget(FakeTargetSettings settings, FakeWeightStore weights) {
         this.settings = settings;
-        this.scheduler = new FakeBatchScheduler(settings, account);
-        this.membership = new FakeMembership(settings, weights, account);
+        this.scheduler = new FakeBatchScheduler(settings, history);
+        this.membership = new FakeMembership(settings, weights, history);
     }
 
     FakeTargetSettings settings() {
         return settings;
     }
 
-    FakeAccount account() {
-        return account;
+    FakeTargetHistory account() {
+        return history;
     }
 
     FakeMembership membership() {
--- a/fakes/src/main/java/org/hallwall/fakes/FakeAccount.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeTargetHistory.java
@@ -22,12 +22,12 @@
 import java.util.List;
 
 import org.hallwall.core.id.AttemptId;
-import org.hallwall.core.id.FencingNumber;
+import org.hallwall.core.id.FencingToken;
 import org.hallwall.core.id.GroupId;
 import org.hallwall.engine.RunFrame;
 
 /** Records the runs, group changes and calls of a fake target, for verification by tests. Thread-safe. */
-public final class FakeAccount {
+public final class FakeTargetHistory {
 
     private final List<RunRecord> runs = new ArrayList<>();
     private final List<GroupRecord> groups = new ArrayList<>();
@@ -47,7 +47,7 @@
         }
     }
 
-    synchronized void recordGroupChange(GroupId group, FencingNumber fencing, long at) {
+    synchronized void recordGroupChange(GroupId group, FencingToken fencing, long at) {
         groups.add(new GroupRecord(group, fencing, at));
     }
 
@@ -60,8 +60,8 @@
      *
      * @return the snapshot
      */
-    public synchronized Copy snapshot() {
-        return new Copy(List.copyOf(runs), List.copyOf(groups), List.copyOf(calls));
+    public synchronized Snapshot snapshot() {
+        return new Snapshot(List.copyOf(runs), List.copyOf(groups), List.copyOf(calls));
     }
 
     /**
@@ -71,7 +71,7 @@
      * @param groups all group changes, in order
      * @param calls all calls of the plain service, in order
      */
-    public record Copy(List<RunRecord> runs, List<GroupRecord> groups, List<CallRecord> calls) {}
+    public record Snapshot(List<RunRecord> runs, List<GroupRecord> groups, List<CallRecord> calls) {}
 
     /**
      * A run.
@@ -93,7 +93,7 @@
      * @param fencing the fencing number of the order
      * @param at the time, in milliseconds since the epoch
      */
-    public record GroupRecord(GroupId group, FencingNumber fencing, long at) {}
+    public record GroupRecord(GroupId group, FencingToken fencing, long at) {}
 
     /**
      * A call of a plain service.
--- a/fakes/src/main/java/org/hallwall/fakes/FakeTargetServer.java
+++ b/fakes/src/main/java/org/hallwall/fakes/FakeTargetServer.java
@@ -34,9 +34,9 @@
 import org.hallwall.engine.EngineRun;
 import org.hallwall.engine.GroupMembership;
 import org.hallwall.engine.RunCancelled;
-import org.hallwall.program.HttpPorts;
 import org.hallwall.program.HttpQuery;
 import org.hallwall.program.HttpReplies;
+import org.hallwall.program.HttpServerBinder;
 import org.hallwall.program.ProgramException;
 import org.reactivestreams.Publisher;
 import reactor.core.publisher.Flux;
@@ -64,7 +64,7 @@
                 .host(target.settings().listen().host())
                 .port(target.settings().listen().port())
                 .route(this::addRoutes);
-        server = HttpPorts.bind(http, target.settings().listen());
+        server = HttpServerBinder.bind(http, target.settings().listen());
         target.setPort(server.port());
     }
 
@@ -128,7 +128,7 @@
             return HttpReplies.json(res, 404, Map.of("reason", "no such run"));
         }
         try {
-            return stream(res, run, (int) HttpQuery.of(req).number("from", 0));
+            return stream(res, run, (int) HttpQuery.of(req).nonNegativeLong("from", 0));
         } catch (RefusalException e) {
             return HttpReplies.problem(res, e, null);
         }
@@ -145,7 +145,7 @@
 
     private Publisher<Void> call(HttpServerRequest req, HttpServerResponse res) {
         return req.receive().aggregate().asString().defaultIfEmpty("").flatMap(body -> {
-            String hash = FakeAnswer.hash(body);
+            String hash = FakeCompletion.hash(body);
             target.account().recordCall(req.method().name(), req.uri(), hash, System.currentTimeMillis());
             if (target.faults().cutService()) {
                 res.withConnection(c -> c.channel().close());
--- a/integration/src/test/java/org/hallwall/control/ControlJsonTypes.java
+++ b/integration/src/test/java/org/hallwall/control/ControlJsonTypes.java
@@ -34,7 +34,7 @@
         return Map.of(
                 "log command of declarations", DeclarationCommand.class,
                 "outcome of a log command", DeclarationOutcome.class,
-                "snapshot of declarations", DeclarationMachine.Snapshot.class,
+                "snapshot of declarations", DeclarationStateMachine.Snapshot.class,
                 "settings of hallwall-control", ControlSettings.class,
                 "status", ControlDaemon.Status.class,
                 "dump of hallwall-control", ControlDaemon.Dump.class,
--- a/integration/src/test/java/org/hallwall/fakes/FakeJsonTypes.java
+++ b/integration/src/test/java/org/hallwall/fakes/FakeJsonTypes.java
@@ -33,7 +33,7 @@
     public static Map<String, Class<?>> types() {
         return Map.of(
                 "settings of hallwall-fake-engine", FakeEngineSettings.class,
-                "account of a stand-in target", FakeAccount.Copy.class,
+                "account of a stand-in target", FakeTargetHistory.Snapshot.class,
                 "faults of a stand-in target", FakeFaults.class,
                 "membership of a stand-in target", FakeTargetServer.MembershipResponse.class,
                 "refusal of a stand-in target", FakeMembership.Refusal.class);
--- a/integration/src/test/java/org/hallwall/integration/CrossDomainTest.java
+++ b/integration/src/test/java/org/hallwall/integration/CrossDomainTest.java
@@ -26,9 +26,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.hallwall.core.id.FailureDomainId;
 import org.hallwall.core.id.WorkspaceId;
-import org.hallwall.entry.claim.ClaimKey;
-import org.hallwall.fakes.FakeAccount;
-import org.hallwall.fakes.FakeAnswer;
+import org.hallwall.entry.claim.IdempotencyKey;
+import org.hallwall.fakes.FakeCompletion;
+import org.hallwall.fakes.FakeTargetHistory;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -128,8 +128,8 @@
 
     private static String keyWithHome(String home) {
         for (int i = 0; ; i++) {
-            ClaimKey key = ClaimKey.of(new WorkspaceId("kitchen"), "key-" + i);
-            if (key.home(DOMAINS).value().equals(home)) {
+            IdempotencyKey key = IdempotencyKey.parse(new WorkspaceId("kitchen"), "key-" + i);
+            if (key.homeDomain(DOMAINS).value().equals(home)) {
                 return "key-" + i;
             }
         }
@@ -138,8 +138,8 @@
     private int countRuns(String prompt) throws IOException {
         int n = 0;
         for (FleetTarget t : fleet.targets()) {
-            for (FakeAccount.RunRecord r : t.account().runs()) {
-                n += r.promptHash().equals(FakeAnswer.hash(EntryClient.renderPrompt(prompt))) ? 1 : 0;
+            for (FakeTargetHistory.RunRecord r : t.account().runs()) {
+                n += r.promptHash().equals(FakeCompletion.hash(EntryClient.renderPrompt(prompt))) ? 1 : 0;
             }
         }
         return n;
--- a/integration/src/test/java/org/hallwall/integration/DomainFailureTest.java
+++ b/integration/src/test/java/org/hallwall/integration/DomainFailureTest.java
@@ -28,8 +28,8 @@
 
 import org.hallwall.core.id.GroupId;
 import org.hallwall.core.id.InstanceId;
-import org.hallwall.fakes.FakeAccount;
-import org.hallwall.fakes.FakeAnswer;
+import org.hallwall.fakes.FakeCompletion;
+import org.hallwall.fakes.FakeTargetHistory;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -212,8 +212,8 @@
     private int countRuns(String prompt) throws IOException {
         int n = 0;
         for (FleetTarget t : liveTargets().values()) {
-            for (FakeAccount.RunRecord r : t.account().runs()) {
-                n += r.promptHash().equals(FakeAnswer.hash(EntryClient.renderPrompt(prompt))) ? 1 : 0;
+            for (FakeTargetHistory.RunRecord r : t.account().runs()) {
+                n += r.promptHash().equals(FakeCompletion.hash(EntryClient.renderPrompt(prompt))) ? 1 : 0;
             }
         }
         return n;
@@ -232,7 +232,7 @@
     /** Checks that no run started on the group of the killed member later than two seconds after the kill. */
     private void assertNoRunOnBrokenGroups(long killedAt, String member) throws IOException {
         for (FleetTarget t : liveTargets().values()) {
-            for (FakeAccount.RunRecord r : t.account().runs()) {
+            for (FakeTargetHistory.RunRecord r : t.account().runs()) {
                 boolean late = r.at() > killedAt + 2_000;
                 assertFalse(late && brokenGroups.getOrDefault(r.group(), "").equals(member), r.toString());
             }
--- a/integration/src/test/java/org/hallwall/integration/FleetTarget.java
+++ b/integration/src/test/java/org/hallwall/integration/FleetTarget.java
@@ -23,7 +23,7 @@
 
 import org.hallwall.core.settings.Json;
 import org.hallwall.core.settings.NetAddress;
-import org.hallwall.fakes.FakeAccount;
+import org.hallwall.fakes.FakeTargetHistory;
 
 /** Test access to a fake target: the runs and calls that it recorded, and fault injection. */
 final class FleetTarget {
@@ -34,10 +34,10 @@
         this.address = address;
     }
 
-    FakeAccount.Copy account() throws IOException {
+    FakeTargetHistory.Snapshot account() throws IOException {
         String text =
                 HttpCalls.send("GET", address, "/fake/account", null, Map.of()).text();
-        return Json.MAPPER.readValue(text, FakeAccount.Copy.class);
+        return Json.MAPPER.readValue(text, FakeTargetHistory.Snapshot.class);
     }
 
     void setFaults(String json) throws IOException {
--- a/integration/src/test/java/org/hallwall/integration/MapperNamesTest.java
+++ b/integration/src/test/java/org/hallwall/integration/MapperNamesTest.java
@@ -54,12 +54,12 @@
 import org.hallwall.entry.request.RequestJsonTypes;
 import org.hallwall.fakes.FakeJsonTypes;
 import org.hallwall.load.LoadJsonTypes;
+import org.hallwall.log.DataFolder;
 import org.hallwall.log.LogEntry;
-import org.hallwall.log.LogFolder;
 import org.hallwall.log.LogMessage;
 import org.hallwall.log.LogSnapshot;
-import org.hallwall.log.LogState;
 import org.hallwall.log.LogVote;
+import org.hallwall.log.ReplicaState;
 import org.hallwall.platform.PlatformSettings;
 import org.hallwall.program.ProcessUsage;
 import org.hallwall.resource.ModelGroupSpec;
@@ -71,7 +71,7 @@
 import org.hallwall.serving.crash.CrashJsonTypes;
 import org.hallwall.serving.target.FeedMessage;
 import org.hallwall.serving.target.TargetDirectory;
-import org.hallwall.wire.PeerKinds;
+import org.hallwall.wire.PeerMessageTypes;
 import org.junit.jupiter.api.Test;
 
 /** Guards against accidental changes of the names used in peer messages, stored data, settings, dumps and metrics. */
@@ -85,15 +85,16 @@
 
     @Test
     void peerMessages() {
-        PeerKinds kinds = new PeerKinds();
-        LogMessage.register(kinds);
-        ResourceMessage.register(kinds);
-        DomainMessage.register(kinds);
-        ClaimMessage.register(kinds);
-        FeedMessage.register(kinds);
+        PeerMessageTypes messageTypes = new PeerMessageTypes();
+        LogMessage.register(messageTypes);
+        ResourceMessage.register(messageTypes);
+        DomainMessage.register(messageTypes);
+        ClaimMessage.register(messageTypes);
+        FeedMessage.register(messageTypes);
         StringBuilder out = new StringBuilder();
-        typesByNumber(kinds).forEach((number, type) -> describeType(out, "message " + number, type, plainMapper));
-        typesByNumber(ControlNode.kinds())
+        typesByNumber(messageTypes)
+                .forEach((number, type) -> describeType(out, "message " + number, type, plainMapper));
+        typesByNumber(ControlNode.messageTypes())
                 .forEach(
                         (number, type) -> out.append("platform ").append(number).append('\n'));
         Approvals.verify(out.toString());
@@ -110,10 +111,10 @@
         types.putAll(LoadJsonTypes.types());
         types.putAll(CrashJsonTypes.types());
         types.put("log entry", LogEntry.class);
-        types.put("log folder", LogFolder.class);
+        types.put("log folder", DataFolder.class);
         types.put("log vote", LogVote.class);
         types.put("log snapshot", LogSnapshot.class);
-        types.put("log state in dumps", LogState.class);
+        types.put("log state in dumps", ReplicaState.class);
         types.put("member of the control plane", FeedMessage.ControlMember.class);
         types.put("settings of the platform's programs", PlatformSettings.class);
         types.put("resource", Resource.class);
@@ -128,7 +129,7 @@
         types.put("run", EngineRun.class);
         types.put("frame of a run", RunFrame.class);
         types.put("answer to a cancelled run", RunCancelled.class);
-        types.put("target in dumps", TargetDirectory.KnownTarget.class);
+        types.put("target in dumps", TargetDirectory.AnnouncedTarget.class);
         StringBuilder out = new StringBuilder();
         types.forEach((what, type) -> describeType(out, what, type, Json.MAPPER));
         Approvals.verify(out.toString());
@@ -160,14 +161,14 @@
         }
     }
 
-    private static Map<Integer, Class<?>> typesByNumber(PeerKinds kinds) {
+    private static Map<Integer, Class<?>> typesByNumber(PeerMessageTypes messageTypes) {
         Map<Integer, Class<?>> out = new TreeMap<>();
         try {
-            for (Field f : PeerKinds.class.getDeclaredFields()) {
+            for (Field f : PeerMessageTypes.class.getDeclaredFields()) {
                 if (f.getGenericType() instanceof ParameterizedType t
                         && t.getActualTypeArguments()[0] == Integer.class) {
                     f.setAccessible(true);
-                    ((Map<?, ?>) f.get(kinds)).forEach((k, v) -> out.put((Integer) k, (Class<?>) v));
+                    ((Map<?, ?>) f.get(messageTypes)).forEach((k, v) -> out.put((Integer) k, (Class<?>) v));
                 }
             }
         } catch (IllegalAccessException e) {
--- a/integration/src/test/java/org/hallwall/integration/ModuleRulesTest.java
+++ b/integration/src/test/java/org/hallwall/integration/ModuleRulesTest.java
@@ -72,7 +72,7 @@
         "serving.group.StagingPlan",
         "serving.group.GroupFormation",
         "serving.group.PackingSearch",
-        "serving.relay.StreamRoom",
+        "serving.relay.StreamCapacity",
         "domain.LeaseElector",
         "domain.GroupPlanner"
     })
--- a/integration/src/test/java/org/hallwall/integration/ProgramApprovalTest.java
+++ b/integration/src/test/java/org/hallwall/integration/ProgramApprovalTest.java
@@ -80,8 +80,8 @@
                 "hallwall"
             })
     void invalidUsage(String program) {
-        assertEquals(ExitCode.WRONG_USE, run(program, "--no-such-option").code);
-        assertEquals(ExitCode.WRONG_USE, run(program).code);
+        assertEquals(ExitCode.USAGE_ERROR, run(program, "--no-such-option").code);
+        assertEquals(ExitCode.USAGE_ERROR, run(program).code);
         assertEquals(ExitCode.SUCCESS, run(program, "--version").code);
     }
 
--- a/integration/src/test/java/org/hallwall/integration/RequestFailureTest.java
+++ b/integration/src/test/java/org/hallwall/integration/RequestFailureTest.java
@@ -25,8 +25,8 @@
 import java.util.concurrent.CompletableFuture;
 
 import org.hallwall.engine.RunFrame;
-import org.hallwall.fakes.FakeAccount;
-import org.hallwall.fakes.FakeAnswer;
+import org.hallwall.fakes.FakeCompletion;
+import org.hallwall.fakes.FakeTargetHistory;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeAll;
@@ -190,7 +190,7 @@
         for (int i = 0; i < 10; i++) {
             assertCompleteResponse(caller.chat("paused " + i, 3, false), "paused " + i, 3);
         }
-        for (FakeAccount.RunRecord r : fleet.target("fb-1").account().runs()) {
+        for (FakeTargetHistory.RunRecord r : fleet.target("fb-1").account().runs()) {
             assertFalse(r.at() > cutAt + 2_000, "a run started " + (r.at() - cutAt) + " ms after the pause");
         }
         fleet.target("fb-2").setFaults(NO_FAULTS);
@@ -242,7 +242,7 @@
         Fleet.await().until(() -> runs("gone").size() == 1);
         reply.cancel(true);
         Fleet.await().untilAsserted(() -> {
-            List<FakeAccount.RunRecord> found = runs("gone");
+            List<FakeTargetHistory.RunRecord> found = runs("gone");
             assertNotNull(found.get(0).end());
             assertEquals(RunFrame.End.CANCELLED, found.get(0).end());
         });
@@ -250,17 +250,17 @@
 
     static void assertCompleteResponse(HttpCalls.Response r, String prompt, int tokens) throws IOException {
         assertEquals(200, r.status(), r.text());
-        assertEquals(FakeAnswer.whole(EntryClient.renderPrompt(prompt), tokens), EntryClient.responseText(r));
+        assertEquals(FakeCompletion.fullText(EntryClient.renderPrompt(prompt), tokens), EntryClient.responseText(r));
         if ("text/event-stream".equals(r.contentType())) {
             assertTrue(r.text().endsWith("data: [DONE]\n\n"));
         }
     }
 
-    private static List<FakeAccount.RunRecord> runs(String prompt) throws IOException {
-        String hash = FakeAnswer.hash(EntryClient.renderPrompt(prompt));
-        List<FakeAccount.RunRecord> out = new ArrayList<>();
+    private static List<FakeTargetHistory.RunRecord> runs(String prompt) throws IOException {
+        String hash = FakeCompletion.hash(EntryClient.renderPrompt(prompt));
+        List<FakeTargetHistory.RunRecord> out = new ArrayList<>();
         for (FleetTarget t : fleet.targets()) {
-            for (FakeAccount.RunRecord r : t.account().runs()) {
+            for (FakeTargetHistory.RunRecord r : t.account().runs()) {
                 if (r.promptHash().equals(hash)) {
                     out.add(r);
                 }
@@ -280,8 +280,8 @@
     private static int countCalls(String body) throws IOException {
         int n = 0;
         for (String s : List.of("s1", "s2")) {
-            for (FakeAccount.CallRecord c : fleet.target(s).account().calls()) {
-                n += c.bodyHash().equals(FakeAnswer.hash(body)) ? 1 : 0;
+            for (FakeTargetHistory.CallRecord c : fleet.target(s).account().calls()) {
+                n += c.bodyHash().equals(FakeCompletion.hash(body)) ? 1 : 0;
             }
         }
         return n;
--- a/integration/src/test/java/org/hallwall/integration/StoredDataTest.java
+++ b/integration/src/test/java/org/hallwall/integration/StoredDataTest.java
@@ -24,19 +24,19 @@
 import java.util.List;
 import java.util.Map;
 
-import org.hallwall.control.DeclarationMachine;
+import org.hallwall.control.DeclarationStateMachine;
 import org.hallwall.core.id.InstanceId;
+import org.hallwall.log.DataFolder;
 import org.hallwall.log.LogEntry;
 import org.hallwall.log.LogEntryKind;
-import org.hallwall.log.LogFolder;
 import org.hallwall.log.LogStore;
-import org.hallwall.log.LogStored;
 import org.hallwall.log.LogVote;
+import org.hallwall.log.RecoveredState;
 import org.hallwall.resource.Resource;
 import org.hallwall.resource.ResourceKind;
 import org.hallwall.serving.crash.CrashCommand;
 import org.hallwall.serving.crash.CrashLedger;
-import org.hallwall.serving.crash.EndedTarget;
+import org.hallwall.serving.crash.CrashedTarget;
 import org.hallwall.serving.crash.RequestDigest;
 import org.hallwall.serving.crash.Suspect;
 import org.junit.jupiter.api.Test;
@@ -59,33 +59,38 @@
             Files.copy(STORED.resolve("log").resolve(file), folder.resolve(file));
         }
         try (LogStore store = LogStore.open(folder)) {
-            LogStored stored = store.stored();
-            assertEquals(new LogFolder("folder-1", true), stored.folder());
-            assertEquals(new LogVote(7, new InstanceId("voter-b")), stored.vote());
-            assertEquals(3, stored.snapshot().index());
-            assertEquals(2, stored.snapshot().term());
-            assertEquals(Map.of("voter-a", "folder-1"), stored.snapshot().admitted());
+            RecoveredState recovered = store.recoveredState();
+            assertEquals(new DataFolder("folder-1", true), recovered.folder());
+            assertEquals(new LogVote(7, new InstanceId("voter-b")), recovered.vote());
+            assertEquals(3, recovered.snapshot().index());
+            assertEquals(2, recovered.snapshot().term());
+            assertEquals(Map.of("voter-a", "folder-1"), recovered.snapshot().admitted());
             assertEquals(
                     List.of(new InstanceId("voter-a"), new InstanceId("voter-b")),
-                    stored.snapshot().voters());
-            assertArrayEquals(new byte[] {1, 2, 3}, stored.snapshot().state());
-            assertEquals(3, stored.entries().size());
-            assertEntry(4, 2, LogEntryKind.START, new byte[0], stored.entries().get(0));
+                    recovered.snapshot().voters());
+            assertArrayEquals(new byte[] {1, 2, 3}, recovered.snapshot().state());
+            assertEquals(3, recovered.entries().size());
+            assertEntry(
+                    4, 2, LogEntryKind.START, new byte[0], recovered.entries().get(0));
             assertEntry(
                     5,
                     7,
                     LogEntryKind.COMMAND,
                     new byte[] {4, 5},
-                    stored.entries().get(1));
+                    recovered.entries().get(1));
             assertEntry(
-                    6, 7, LogEntryKind.VOTERS, new byte[] {6}, stored.entries().get(2));
+                    6,
+                    7,
+                    LogEntryKind.VOTERS,
+                    new byte[] {6},
+                    recovered.entries().get(2));
         }
     }
 
     @Test
     void declarations() throws IOException {
         byte[] bytes = Files.readAllBytes(STORED.resolve("declarations"));
-        DeclarationMachine machine = new DeclarationMachine();
+        DeclarationStateMachine machine = new DeclarationStateMachine();
         machine.restore(2, bytes);
         Resource workspace = new Resource(ResourceKind.WORKSPACE, "acme", 1, 1, "{\"a\":1}", Map.of());
         assertEquals(2, machine.applied());
@@ -112,8 +117,8 @@
     void crashCommand() throws IOException {
         byte[] bytes = Files.readAllBytes(STORED.resolve("suspects-command"));
         CrashCommand command = CrashCommand.read(bytes);
-        EndedTarget ended = new EndedTarget(new InstanceId("target-5"), List.of(new RequestDigest("digest-2")));
-        assertEquals(CrashCommand.seen(2000, List.of(ended), List.of(new RequestDigest("digest-1"))), command);
+        CrashedTarget crashed = new CrashedTarget(new InstanceId("target-5"), List.of(new RequestDigest("digest-2")));
+        assertEquals(CrashCommand.report(2000, List.of(crashed), List.of(new RequestDigest("digest-1"))), command);
         assertArrayEquals(bytes, command.bytes());
     }
 
--- a/load/src/main/java/org/hallwall/load/DirectLoadClient.java
+++ b/load/src/main/java/org/hallwall/load/DirectLoadClient.java
@@ -63,7 +63,7 @@
                 1);
         long[] first = {0};
         int[] frames = {0};
-        return engines.run(head.address, run)
+        return engines.startRun(head.address, run)
                 .doOnNext(batch -> {
                     first[0] = first[0] == 0 ? System.nanoTime() - due : first[0];
                     frames[0] += batch.size();
--- a/load/src/main/java/org/hallwall/load/LoadClient.java
+++ b/load/src/main/java/org/hallwall/load/LoadClient.java
@@ -29,7 +29,7 @@
 import io.netty.buffer.Unpooled;
 import org.hallwall.core.settings.Json;
 import org.hallwall.core.settings.NetAddress;
-import org.hallwall.fakes.FakeAnswer;
+import org.hallwall.fakes.FakeCompletion;
 import reactor.core.publisher.Mono;
 import reactor.netty.http.client.HttpClient;
 import reactor.netty.http.client.HttpClientResponse;
@@ -139,7 +139,7 @@
         }
 
         private boolean isComplete() {
-            String expected = FakeAnswer.whole("user: " + request.prompt() + "\n", experiment.tokens());
+            String expected = FakeCompletion.fullText("user: " + request.prompt() + "\n", experiment.tokens());
             try {
                 return expected.equals(request.streamed() ? streamedText() : plainText());
             } catch (JsonProcessingException e) {
--- a/load/src/main/java/org/hallwall/load/LoadMain.java
+++ b/load/src/main/java/org/hallwall/load/LoadMain.java
@@ -32,8 +32,8 @@
 import org.hallwall.core.settings.SettingsSchema;
 import org.hallwall.program.ExitCode;
 import org.hallwall.program.LogFormat;
-import org.hallwall.program.LogTarget;
-import org.hallwall.program.ProgramLogs;
+import org.hallwall.program.LogOutput;
+import org.hallwall.program.LoggingSetup;
 import org.hallwall.program.ProgramVersion;
 
 /** Command-line entry point of {@code hallwall-load}. */
@@ -49,7 +49,7 @@
      * @param args the command line
      */
     public static void main(String[] args) {
-        ProgramLogs.configure(LogFormat.TEXT, "INFO", LogTarget.STANDARD_ERROR);
+        LoggingSetup.configure(LogFormat.TEXT, "INFO", LogOutput.STANDARD_ERROR);
         System.exit(run(System.out, System.err, args).code());
     }
 
@@ -66,7 +66,7 @@
             return dispatch(out, new DefaultParser().parse(options(), args));
         } catch (ParseException e) {
             err.println("hallwall-load: " + e.getMessage() + " (see --help)");
-            return ExitCode.WRONG_USE;
+            return ExitCode.USAGE_ERROR;
         } catch (SettingsException | IOException e) {
             err.println("hallwall-load: " + e.getMessage());
             return ExitCode.FAILURE;
@@ -83,7 +83,7 @@
             return ExitCode.SUCCESS;
         }
         if (line.hasOption("version")) {
-            out.println("hallwall-load " + ProgramVersion.text());
+            out.println("hallwall-load " + ProgramVersion.version());
             return ExitCode.SUCCESS;
         }
         if (line.hasOption("policies")) {
--- a/load/src/main/java/org/hallwall/load/LoadReport.java
+++ b/load/src/main/java/org/hallwall/load/LoadReport.java
@@ -69,7 +69,8 @@
         Files.createDirectories(folder);
         String name = result.experiment().name();
         Files.writeString(folder.resolve(name + ".txt"), text());
-        Files.writeString(folder.resolve(name + ".json"), Json.PRETTY.writeValueAsString(result.summary()) + "\n");
+        Files.writeString(
+                folder.resolve(name + ".json"), Json.PRETTY_MAPPER.writeValueAsString(result.summary()) + "\n");
         try (OutputStream out = Files.newOutputStream(folder.resolve(name + ".svg"))) {
             VectorGraphicsEncoder.saveVectorGraphic(createChart(), out, VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
         }
--- a/load/src/main/java/org/hallwall/load/LoadRun.java
+++ b/load/src/main/java/org/hallwall/load/LoadRun.java
@@ -35,8 +35,8 @@
 import io.netty.buffer.Unpooled;
 import org.hallwall.core.settings.Json;
 import org.hallwall.core.settings.NetAddress;
-import org.hallwall.fakes.FakeAccount;
-import org.hallwall.fakes.FakeAnswer;
+import org.hallwall.fakes.FakeCompletion;
+import org.hallwall.fakes.FakeTargetHistory;
 import org.jboss.logging.Logger;
 import reactor.core.publisher.Mono;
 import reactor.netty.http.client.HttpClient;
@@ -115,19 +115,19 @@
     private int countDuplicateRuns(List<LoadRequest> requests) {
         Map<String, Integer> runs = new HashMap<>();
         for (NetAddress a : experiment.engines()) {
-            for (FakeAccount.RunRecord r : fetchAccount(a).runs()) {
+            for (FakeTargetHistory.RunRecord r : fetchAccount(a).runs()) {
                 runs.merge(r.promptHash(), 1, Integer::sum);
             }
         }
         int duplicates = 0;
         for (LoadRequest r : requests) {
-            String hash = FakeAnswer.hash("user: " + r.prompt() + "\n");
+            String hash = FakeCompletion.hash("user: " + r.prompt() + "\n");
             duplicates += r.idempotencyKey() != null && runs.getOrDefault(hash, 0) > 1 ? 1 : 0;
         }
         return duplicates;
     }
 
-    private static FakeAccount.Copy fetchAccount(NetAddress a) {
+    private static FakeTargetHistory.Snapshot fetchAccount(NetAddress a) {
         String text = HttpClient.create()
                 .get()
                 .uri("http://" + a + "/fake/account")
@@ -137,7 +137,7 @@
                 .onErrorReturn("{\"runs\":[],\"groups\":[],\"calls\":[]}")
                 .block(GRACE_PERIOD);
         try {
-            return Json.MAPPER.readValue(text, FakeAccount.Copy.class);
+            return Json.MAPPER.readValue(text, FakeTargetHistory.Snapshot.class);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("malformed run records from an engine", e);
         }
--- a/load/src/main/java/org/hallwall/load/RepairPolicySimulation.java
+++ b/load/src/main/java/org/hallwall/load/RepairPolicySimulation.java
@@ -29,10 +29,12 @@
 import java.util.TreeMap;
 
 import org.hallwall.core.id.FabricDomainId;
-import org.hallwall.core.id.FencingNumber;
+import org.hallwall.core.id.FencingToken;
 import org.hallwall.core.id.GroupId;
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.id.ModelGroupId;
+import org.hallwall.domain.AnnouncedTarget;
+import org.hallwall.domain.DesiredModelGroup;
 import org.hallwall.domain.DomainTiming;
 import org.hallwall.domain.GroupNames;
 import org.hallwall.domain.GroupPlanInput;
@@ -40,8 +42,6 @@
 import org.hallwall.domain.GroupStep;
 import org.hallwall.domain.GroupView;
 import org.hallwall.domain.GroupViews;
-import org.hallwall.domain.KnownTarget;
-import org.hallwall.domain.WantedGroup;
 import org.hallwall.engine.GroupMembership;
 import org.hallwall.resource.ModelGroupSpec;
 import org.hallwall.resource.RepairPolicy;
@@ -70,7 +70,7 @@
     private final Map<InstanceId, Long> pendingUntilMillis = new HashMap<>();
     private final GroupPlanner planner = new GroupPlanner(DomainTiming.DEFAULT);
     private final RepairPolicy policy;
-    private final WantedGroup desiredGroup;
+    private final DesiredModelGroup desiredGroup;
     private final long[] slotFreeMillis = new long[MAX_CONCURRENT_LOADS];
     private long fencing;
     private double downtimeSeconds;
@@ -80,7 +80,7 @@
         random = new Random(seed);
         this.policy = policy;
         ModelGroupSpec spec = new ModelGroupSpec("m", VERSION, null, GROUP_SIZE, REPLICAS, null, policy, 1);
-        desiredGroup = new WantedGroup(MODEL_GROUP, 1, spec, REPLICAS);
+        desiredGroup = new DesiredModelGroup(MODEL_GROUP, 1, spec, REPLICAS);
         for (int f = 0; f < FABRIC_DOMAINS; f++) {
             for (int t = 0; t < TARGETS_PER_DOMAIN; t++) {
                 InstanceId id = new InstanceId("f" + f + "-" + t);
@@ -135,7 +135,7 @@
     }
 
     private void step(long now) {
-        List<KnownTarget> known = new ArrayList<>();
+        List<AnnouncedTarget> known = new ArrayList<>();
         for (SimulatedTarget t : targets.values()) {
             t.step(now);
             known.add(t.toKnownTarget());
@@ -149,15 +149,15 @@
     }
 
     /** Returns all groups: without requests, each group is drained at once. */
-    private static Set<GroupId> drainedGroups(List<KnownTarget> known) {
+    private static Set<GroupId> drainedGroups(List<AnnouncedTarget> known) {
         return new HashSet<>(GroupViews.of(known).keySet());
     }
 
     private void applyStep(long now, GroupStep step) {
         fencing++;
         if (step instanceof GroupStep.Form f) {
-            GroupId group = GroupNames.of(MODEL_GROUP, new FencingNumber(fencing));
-            GroupMembership m = new GroupMembership(group, MODEL_GROUP, new FencingNumber(fencing), f.members(), false);
+            GroupId group = GroupNames.of(MODEL_GROUP, new FencingToken(fencing));
+            GroupMembership m = new GroupMembership(group, MODEL_GROUP, new FencingToken(fencing), f.members(), false);
             for (InstanceId id : f.members()) {
                 if (targets.get(id).isUp(now)) {
                     SimulatedTarget t = targets.get(id);
@@ -187,12 +187,12 @@
     }
 
     private void recordMetrics(long now) {
-        List<KnownTarget> known = new ArrayList<>();
+        List<AnnouncedTarget> known = new ArrayList<>();
         targets.values().forEach(t -> known.add(t.toKnownTarget()));
         Set<InstanceId> serving = new HashSet<>();
         int complete = 0;
         for (GroupView g : GroupViews.of(known).values()) {
-            if (g.isComplete(now, DomainTiming.DEFAULT.announceLease()) && areAllUp(g, now)) {
+            if (g.isComplete(now, DomainTiming.DEFAULT.announcementTtl()) && areAllUp(g, now)) {
                 complete++;
                 serving.addAll(g.membership().members());
             }
--- a/load/src/main/java/org/hallwall/load/SimulatedTarget.java
+++ b/load/src/main/java/org/hallwall/load/SimulatedTarget.java
@@ -22,10 +22,10 @@
 
 import org.hallwall.core.id.FabricDomainId;
 import org.hallwall.core.id.FailureDomainId;
-import org.hallwall.core.id.FencingNumber;
+import org.hallwall.core.id.FencingToken;
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.settings.NetAddress;
-import org.hallwall.domain.KnownTarget;
+import org.hallwall.domain.AnnouncedTarget;
 import org.hallwall.engine.Announcement;
 import org.hallwall.engine.GroupMembership;
 import org.hallwall.engine.TargetLoad;
@@ -109,7 +109,7 @@
         }
     }
 
-    KnownTarget toKnownTarget() {
+    AnnouncedTarget toKnownTarget() {
         GroupMembership m = membership == null
                 ? null
                 : new GroupMembership(
@@ -129,13 +129,13 @@
                 true,
                 null,
                 m,
-                FencingNumber.NONE,
+                FencingToken.NONE,
                 loadedVersion == null ? null : "m",
                 loadedVersion,
                 List.of(),
                 m == null ? null : "BOTH",
                 TargetLoad.NONE,
                 false);
-        return new KnownTarget(a, lastAnnouncedMillis);
+        return new AnnouncedTarget(a, lastAnnouncedMillis);
     }
 }
--- a/log/src/main/java/org/hallwall/log/LogFolder.java
+++ b/log/src/main/java/org/hallwall/log/DataFolder.java
@@ -25,4 +25,4 @@
  * @param admitted whether the folder may vote: it was created for a new fleet, or its voter has learned that a quorum
  *     admitted it
  */
-public record LogFolder(String id, boolean admitted) {}
+public record DataFolder(String id, boolean admitted) {}
--- a/log/src/main/java/org/hallwall/log/FollowerProgress.java
+++ b/log/src/main/java/org/hallwall/log/FollowerProgress.java
@@ -24,7 +24,7 @@
     private long nextIndex;
     private long matchIndex;
     private long lastAckSentAt = Long.MIN_VALUE;
-    private LogFolder folder;
+    private DataFolder folder;
     private long admissionIndex;
     private long snapshotSentAt = Long.MIN_VALUE;
 
@@ -32,7 +32,7 @@
         this.nextIndex = nextIndex;
     }
 
-    void recordReply(LogFolder reportedFolder, long sentAt) {
+    void recordReply(DataFolder reportedFolder, long sentAt) {
         if (folder == null || !folder.id().equals(reportedFolder.id())) {
             matchIndex = 0;
             admissionIndex = 0;
@@ -75,7 +75,7 @@
         return lastAckSentAt;
     }
 
-    LogFolder folder() {
+    DataFolder folder() {
         return folder;
     }
 
--- a/log/src/main/java/org/hallwall/log/FollowerTracker.java
+++ b/log/src/main/java/org/hallwall/log/FollowerTracker.java
@@ -28,7 +28,7 @@
 /** The replication progress of all other voters, tracked by the leader. Not thread-safe. */
 final class FollowerTracker {
 
-    private static final LogFolder UNKNOWN_FOLDER = new LogFolder("", false);
+    private static final DataFolder UNKNOWN_FOLDER = new DataFolder("", false);
     /** How long a learner may be unresponsive before another one can replace it. */
     private static final long LEARNER_TIMEOUT_MILLIS = 1_500;
 
--- a/log/src/main/java/org/hallwall/log/LogAction.java
+++ b/log/src/main/java/org/hallwall/log/LogAction.java
@@ -37,7 +37,7 @@
      *
      * @param folder the folder
      */
-    record SaveFolder(LogFolder folder) implements LogAction {}
+    record SaveFolder(DataFolder folder) implements LogAction {}
 
     /**
      * Truncates the stored log at the index of the first entry and appends the entries.
--- a/log/src/main/java/org/hallwall/log/LogAdmissions.java
+++ b/log/src/main/java/org/hallwall/log/LogAdmissions.java
@@ -29,9 +29,9 @@
     private final InstanceId self;
     private final InMemoryLog log;
     private final Map<String, String> committed = new HashMap<>();
-    private LogFolder folder;
+    private DataFolder folder;
 
-    LogAdmissions(InstanceId self, LogFolder folder, InMemoryLog log) {
+    LogAdmissions(InstanceId self, DataFolder folder, InMemoryLog log) {
         this.self = self;
         this.folder = folder;
         this.log = log;
@@ -46,7 +46,7 @@
         return Map.copyOf(committed);
     }
 
-    LogFolder folder() {
+    DataFolder folder() {
         return folder;
     }
 
@@ -54,7 +54,7 @@
         committed.put(admission.voter().value(), admission.folder());
     }
 
-    boolean isCommitted(InstanceId voter, LogFolder reportedFolder) {
+    boolean isCommitted(InstanceId voter, DataFolder reportedFolder) {
         return reportedFolder.id().equals(committed.get(voter.value()));
     }
 
@@ -68,7 +68,7 @@
         if (folder.admitted() || !isCommitted(self, folder)) {
             return false;
         }
-        folder = new LogFolder(folder.id(), true);
+        folder = new DataFolder(folder.id(), true);
         return true;
     }
 
@@ -80,7 +80,7 @@
      * Returns whether a voter counts towards a quorum. An admission in the log that is not known to be committed counts
      * if the voter reports its folder as admitted, since it does so only after learning of the commit.
      */
-    boolean countsTowardQuorum(InstanceId voter, LogFolder reportedFolder) {
+    boolean countsTowardQuorum(InstanceId voter, DataFolder reportedFolder) {
         if (reportedFolder == null) {
             return false;
         }
--- a/log/src/main/java/org/hallwall/log/LogMessage.java
+++ b/log/src/main/java/org/hallwall/log/LogMessage.java
@@ -21,8 +21,8 @@
 import java.util.List;
 
 import org.hallwall.core.id.InstanceId;
-import org.hallwall.wire.PeerKinds;
 import org.hallwall.wire.PeerMessage;
+import org.hallwall.wire.PeerMessageTypes;
 
 /** A message between two voters. */
 public sealed interface LogMessage extends PeerMessage {
@@ -44,14 +44,15 @@
     /**
      * Registers the message types.
      *
-     * @param kinds the registry
+     * @param messageTypes the registry
      */
-    static void register(PeerKinds kinds) {
-        kinds.add(10, VoteRequest.class)
-                .add(11, VoteReply.class)
-                .add(12, AppendRequest.class)
-                .add(13, AppendReply.class)
-                .add(14, SnapshotRequest.class);
+    static void register(PeerMessageTypes messageTypes) {
+        messageTypes
+                .register(10, VoteRequest.class)
+                .register(11, VoteReply.class)
+                .register(12, AppendRequest.class)
+                .register(13, AppendReply.class)
+                .register(14, SnapshotRequest.class);
     }
 
     /**
@@ -86,7 +87,7 @@
      * @param startId the candidate's start id if this voter has not heard from a leader since its own start; zero
      *     otherwise
      */
-    record VoteReply(long term, InstanceId from, LogFolder folder, boolean granted, boolean preVote, long startId)
+    record VoteReply(long term, InstanceId from, DataFolder folder, boolean granted, boolean preVote, long startId)
             implements LogMessage {}
 
     /**
@@ -114,7 +115,7 @@
      * @param index if accepted, the last index known to match; otherwise the index after which to resume
      * @param sentAt the echoed time of sending
      */
-    record AppendReply(long term, InstanceId from, LogFolder folder, boolean accepted, long index, long sentAt)
+    record AppendReply(long term, InstanceId from, DataFolder folder, boolean accepted, long index, long sentAt)
             implements LogMessage {}
 
     /**
--- a/log/src/main/java/org/hallwall/log/LogReplica.java
+++ b/log/src/main/java/org/hallwall/log/LogReplica.java
@@ -66,26 +66,26 @@
     /**
      * Restores a replica from its persistent state.
      *
-     * @param seat the configuration of this voter
-     * @param stored the state recovered from disk
+     * @param config the configuration of this voter
+     * @param recovered the state recovered from disk
      * @param random the source of randomized election timeouts
      * @param now the clock in milliseconds; no vote is granted for one election timeout from now
      */
-    public LogReplica(LogSeat seat, LogStored stored, RandomGenerator random, long now) {
-        this.self = seat.self();
-        this.timing = seat.timing();
+    public LogReplica(LogVoterConfig config, RecoveredState recovered, RandomGenerator random, long now) {
+        this.self = config.self();
+        this.timing = config.timing();
         this.random = random;
-        this.term = stored.vote().term();
-        this.votedFor = stored.vote().votedFor();
-        LogSnapshot snapshot = stored.snapshot();
-        this.log = new InMemoryLog(snapshot.index(), snapshot.term(), stored.entries());
+        this.term = recovered.vote().term();
+        this.votedFor = recovered.vote().votedFor();
+        LogSnapshot snapshot = recovered.snapshot();
+        this.log = new InMemoryLog(snapshot.index(), snapshot.term(), recovered.entries());
         this.commitIndex = snapshot.index();
-        this.admissions = new LogAdmissions(self, stored.folder(), log);
+        this.admissions = new LogAdmissions(self, recovered.folder(), log);
         this.admissions.restore(snapshot.admitted());
-        this.voters = new VoterSet(self, seat.voters(), log);
+        this.voters = new VoterSet(self, config.voters(), log);
         this.voters.restore(snapshot.voters());
         this.followers = new FollowerTracker(voters);
-        this.membershipPolicy = new MembershipPolicy(seat.toleratedDiskFailures(), voters, followers, admissions);
+        this.membershipPolicy = new MembershipPolicy(config.toleratedDiskFailures(), voters, followers, admissions);
         this.lastLeaderContactAt = now;
         this.coldStartDetector = new ColdStartDetector(now, timing.coldStartProbeMillis(), random);
         this.role = passiveRole();
@@ -235,8 +235,8 @@
      *
      * @return its state
      */
-    public LogState state() {
-        return new LogState(
+    public ReplicaState state() {
+        return new ReplicaState(
                 role, term, leader, commitIndex, log.lastIndex(), log.baseIndex(), admissions.copy(), voters.all());
     }
 
--- a/log/src/main/java/org/hallwall/log/LogStore.java
+++ b/log/src/main/java/org/hallwall/log/LogStore.java
@@ -49,9 +49,9 @@
     private static final String ENTRIES = "entries";
 
     private final Path directory;
-    private LogStored stored;
+    private RecoveredState recoveredState;
     private FileChannel entries;
-    private long syncs;
+    private long syncCount;
 
     private LogStore(Path directory) {
         this.directory = directory;
@@ -98,8 +98,8 @@
      *
      * @return the recovered state
      */
-    public LogStored stored() {
-        return stored;
+    public RecoveredState recoveredState() {
+        return recoveredState;
     }
 
     /**
@@ -107,8 +107,8 @@
      *
      * @return the number of syncs
      */
-    public long syncs() {
-        return syncs;
+    public long syncCount() {
+        return syncCount;
     }
 
     /**
@@ -133,7 +133,7 @@
      */
     public void saveVote(LogVote vote) throws LogStoreException {
         replace(directory, VOTE, vote);
-        syncs++;
+        syncCount++;
     }
 
     /**
@@ -142,9 +142,9 @@
      * @param folder the identity
      * @throws LogStoreException if the write fails
      */
-    public void saveFolder(LogFolder folder) throws LogStoreException {
+    public void saveFolder(DataFolder folder) throws LogStoreException {
         replace(directory, FOLDER, folder);
-        syncs++;
+        syncCount++;
     }
 
     /**
@@ -157,7 +157,7 @@
         try {
             DurableFile.writeFully(entries, RecordCodec.encode(MAPPER.writeValueAsBytes(batch)));
             entries.force(false);
-            syncs++;
+            syncCount++;
         } catch (IOException e) {
             throw new LogStoreException("cannot write the entries file", e);
         }
@@ -176,7 +176,7 @@
             entries.close();
             replace(directory, ENTRIES, retained);
             openEntries();
-            syncs += 2;
+            syncCount += 2;
         } catch (IOException e) {
             throw new LogStoreException("cannot write the entries file", e);
         }
@@ -211,15 +211,15 @@
         replace(directory, SNAPSHOT, LogSnapshot.EMPTY);
         replace(directory, ENTRIES, List.of());
         // The identity is written last: a folder without it counts as empty.
-        replace(directory, FOLDER, new LogFolder(UUID.randomUUID().toString(), admitted));
+        replace(directory, FOLDER, new DataFolder(UUID.randomUUID().toString(), admitted));
     }
 
     private void load() throws IOException {
-        LogFolder folder = readSingleRecord(FOLDER, LogFolder.class);
+        DataFolder folder = readSingleRecord(FOLDER, DataFolder.class);
         LogVote vote = readSingleRecord(VOTE, LogVote.class);
         LogSnapshot snapshot = snapshot();
         openEntries();
-        stored = new LogStored(folder, vote, snapshot, loadEntries(snapshot));
+        recoveredState = new RecoveredState(folder, vote, snapshot, loadEntries(snapshot));
     }
 
     private List<LogEntry> loadEntries(LogSnapshot snapshot) throws IOException {
--- a/log/src/main/java/org/hallwall/log/LogVoter.java
+++ b/log/src/main/java/org/hallwall/log/LogVoter.java
@@ -26,8 +26,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.random.RandomGenerator;
 
-import org.hallwall.core.duty.DutyState;
-import org.hallwall.core.duty.DutyThread;
+import org.hallwall.core.duty.EventLoopState;
+import org.hallwall.core.duty.EventLoopThread;
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.time.Ticker;
 import org.hallwall.core.verdict.Verdict;
@@ -45,22 +45,22 @@
 
     private final InstanceId self;
     private final LogStore store;
-    private final LogMachine machine;
+    private final StateMachine machine;
     private final LogTransport transport;
     private final Ticker ticker;
     private final Runnable onFailure;
-    private final DutyThread eventLoop;
+    private final EventLoopThread eventLoop;
     private final LogReplica replica;
     private final PendingReads reads;
     private final Map<Long, PendingProposal> pending = new HashMap<>();
-    private volatile LogState state;
+    private volatile ReplicaState state;
     private volatile boolean leaseHeld;
     private boolean failed;
 
     /**
      * Creates a voter; {@link #start()} starts it.
      *
-     * @param seat the configuration of this voter
+     * @param config the configuration of this voter
      * @param store the open store
      * @param machine the state machine
      * @param transport sends messages to other voters
@@ -69,25 +69,25 @@
      * @param onFailure called once when the store has failed; the process must exit
      */
     public LogVoter(
-            LogSeat seat,
+            LogVoterConfig config,
             LogStore store,
-            LogMachine machine,
+            StateMachine machine,
             LogTransport transport,
             Ticker ticker,
             RandomGenerator random,
             Runnable onFailure) {
-        this.self = seat.self();
+        this.self = config.self();
         this.store = store;
         this.machine = machine;
         this.transport = transport;
         this.ticker = ticker;
         this.onFailure = onFailure;
-        LogStored stored = store.stored();
-        machine.restore(stored.snapshot().index(), stored.snapshot().state());
-        this.replica = new LogReplica(seat, stored, random, ticker.millis());
+        RecoveredState recovered = store.recoveredState();
+        machine.restore(recovered.snapshot().index(), recovered.snapshot().state());
+        this.replica = new LogReplica(config, recovered, random, ticker.millis());
         this.reads = new PendingReads(replica);
         this.state = replica.state();
-        this.eventLoop = new DutyThread("log", QUEUE_CAPACITY, TICK_MILLIS, this::tick);
+        this.eventLoop = new EventLoopThread("log", QUEUE_CAPACITY, TICK_MILLIS, this::tick);
     }
 
     /** Starts the thread. */
@@ -112,7 +112,7 @@
      *
      * @param newcomer the instance that wants to join
      */
-    public void consider(InstanceId newcomer) {
+    public void handleJoinRequest(InstanceId newcomer) {
         eventLoop.offer(() -> {
             replica.handleJoinRequest(ticker.millis(), newcomer);
             perform(replica.drainActions());
@@ -150,7 +150,7 @@
      * @return the commit index, with everything accepted before the call applied here; fails with a {@link
      *     LogProposalException}
      */
-    public CompletableFuture<Long> confirmedIndex() {
+    public CompletableFuture<Long> quorumReadIndex() {
         CompletableFuture<Long> index = new CompletableFuture<>();
         boolean accepted = eventLoop.offer(() -> {
             reads.add(index);
@@ -164,11 +164,11 @@
 
     /**
      * Returns the commit index if this voter holds a valid lease. Right after a suspension of the machine the lease may
-     * have expired unnoticed; {@link #confirmedIndex()} does not rely on it.
+     * have expired unnoticed; {@link #quorumReadIndex()} does not rely on it.
      *
      * @return the commit index; fails with a {@link LogProposalException}
      */
-    public CompletableFuture<Long> readIndex() {
+    public CompletableFuture<Long> leaseReadIndex() {
         CompletableFuture<Long> index = new CompletableFuture<>();
         boolean accepted = eventLoop.offer(() -> {
             if (replica.holdsLease(ticker.millis())) {
@@ -188,7 +188,7 @@
      *
      * @return the state
      */
-    public LogState state() {
+    public ReplicaState state() {
         return state;
     }
 
@@ -197,7 +197,7 @@
      *
      * @return the state
      */
-    public DutyState dutyState() {
+    public EventLoopState eventLoopState() {
         return eventLoop.state();
     }
 
@@ -253,7 +253,7 @@
     }
 
     private void publish() {
-        LogState previous = state;
+        ReplicaState previous = state;
         state = replica.state();
         if (previous.role() != state.role()) {
             LOG.infof("log: %s is now %s in term %d", self, state.role(), state.term());
--- a/log/src/main/java/org/hallwall/log/LogSeat.java
+++ b/log/src/main/java/org/hallwall/log/LogVoterConfig.java
@@ -30,7 +30,7 @@
  * @param toleratedDiskFailures the number of simultaneous disk failures that must not lose accepted commands
  * @param timing the timeouts
  */
-public record LogSeat(InstanceId self, List<InstanceId> voters, int toleratedDiskFailures, LogTiming timing) {
+public record LogVoterConfig(InstanceId self, List<InstanceId> voters, int toleratedDiskFailures, LogTiming timing) {
 
     /**
      * Creates a configuration that tolerates the failure of a minority of the voters.
@@ -39,7 +39,7 @@
      * @param voters the initial voters, including this one
      * @param timing the timeouts
      */
-    public LogSeat(InstanceId self, List<InstanceId> voters, LogTiming timing) {
+    public LogVoterConfig(InstanceId self, List<InstanceId> voters, LogTiming timing) {
         this(self, voters, (voters.size() - 1) / 2, timing);
     }
 }
--- a/log/src/main/java/org/hallwall/log/PendingReads.java
+++ b/log/src/main/java/org/hallwall/log/PendingReads.java
@@ -45,7 +45,7 @@
 
     /** Starts a round for the queued reads and completes those that are confirmed; reads of an earlier term fail. */
     void advance(long now, Supplier<LogProposalException> rejection) {
-        LogState state = replica.state();
+        ReplicaState state = replica.state();
         if (state.role() != LogRole.LEADER) {
             queued.forEach(f -> f.completeExceptionally(rejection.get()));
             queued.clear();
@@ -59,7 +59,7 @@
         rounds.removeIf(r -> tryComplete(r, state, rejection));
     }
 
-    private boolean tryComplete(HeartbeatRound round, LogState state, Supplier<LogProposalException> rejection) {
+    private boolean tryComplete(HeartbeatRound round, ReplicaState state, Supplier<LogProposalException> rejection) {
         if (state.role() != LogRole.LEADER || state.term() != round.term()) {
             round.reads().forEach(f -> f.completeExceptionally(rejection.get()));
             return true;
--- a/log/src/main/java/org/hallwall/log/LogStored.java
+++ b/log/src/main/java/org/hallwall/log/RecoveredState.java
@@ -28,4 +28,4 @@
  * @param snapshot the latest snapshot
  * @param entries the entries after the snapshot
  */
-public record LogStored(LogFolder folder, LogVote vote, LogSnapshot snapshot, List<LogEntry> entries) {}
+public record RecoveredState(DataFolder folder, LogVote vote, LogSnapshot snapshot, List<LogEntry> entries) {}
--- a/log/src/main/java/org/hallwall/log/LogState.java
+++ b/log/src/main/java/org/hallwall/log/ReplicaState.java
@@ -35,7 +35,7 @@
  * @param admitted the admitted data folder of each voter
  * @param voters the current voters
  */
-public record LogState(
+public record ReplicaState(
         LogRole role,
         long term,
         InstanceId leader,
--- a/log/src/main/java/org/hallwall/log/LogMachine.java
+++ b/log/src/main/java/org/hallwall/log/StateMachine.java
@@ -19,7 +19,7 @@
 package org.hallwall.log;
 
 /** The replicated state machine. All methods run on the thread of the log. */
-public interface LogMachine {
+public interface StateMachine {
 
     /**
      * Applies a committed command.
--- a/log/src/test/java/org/hallwall/log/LogReadsTest.java
+++ b/log/src/test/java/org/hallwall/log/LogReadsTest.java
@@ -54,12 +54,15 @@
         List<InstanceId> ids = List.of(new InstanceId("c-0"), new InstanceId("c-1"), new InstanceId("c-2"));
         Assertions.assertEquals(VOTERS, ids.size());
         for (InstanceId id : ids) {
-            LogStored emptyState =
-                    new LogStored(new LogFolder(id + "-0", true), new LogVote(0, null), LogSnapshot.EMPTY, List.of());
+            RecoveredState emptyState = new RecoveredState(
+                    new DataFolder(id + "-0", true), new LogVote(0, null), LogSnapshot.EMPTY, List.of());
             replicas.put(
                     id,
                     new LogReplica(
-                            new LogSeat(id, ids, LogTiming.DEFAULT), emptyState, new Random(id.hashCode()), now));
+                            new LogVoterConfig(id, ids, LogTiming.DEFAULT),
+                            emptyState,
+                            new Random(id.hashCode()),
+                            now));
         }
         leader = awaitLeader();
         reads = new PendingReads(replicas.get(leader));
--- a/log/src/test/java/org/hallwall/log/LogSimulation.java
+++ b/log/src/test/java/org/hallwall/log/LogSimulation.java
@@ -309,7 +309,7 @@
     private boolean isSettled() {
         int leading = 0;
         for (SimulatedVoter v : voters.values()) {
-            LogState s = v.replica().state();
+            ReplicaState s = v.replica().state();
             boolean admitted = v.folder().id().equals(s.admitted().get(v.id().value()));
             leading += s.role() == LogRole.LEADER ? 1 : 0;
             boolean agreed = s.voters().size() == voters.size() && s.voters().containsAll(voters.keySet());
--- a/log/src/test/java/org/hallwall/log/LogStoreTest.java
+++ b/log/src/test/java/org/hallwall/log/LogStoreTest.java
@@ -58,9 +58,10 @@
             store.saveEntries(List.of(entry(2, 8, "c")));
         }
         try (LogStore store = LogStore.open(folder)) {
-            assertEquals(new LogVote(7, new InstanceId("v1")), store.stored().vote());
+            assertEquals(
+                    new LogVote(7, new InstanceId("v1")), store.recoveredState().vote());
             assertEquals(List.of("1/7/a", "2/8/c"), texts(store));
-            assertTrue(store.stored().folder().admitted());
+            assertTrue(store.recoveredState().folder().admitted());
         }
     }
 
@@ -74,7 +75,7 @@
         }
         try (LogStore store = LogStore.open(folder)) {
             assertEquals(List.of("3/1/c", "4/1/d"), texts(store));
-            assertEquals(2, store.stored().snapshot().index());
+            assertEquals(2, store.recoveredState().snapshot().index());
         }
     }
 
@@ -125,7 +126,7 @@
     @Test
     void emptyFolderIsNotAdmitted() throws LogStoreException {
         try (LogStore store = LogStore.open(temp.resolve("fresh"))) {
-            assertFalse(store.stored().folder().admitted());
+            assertFalse(store.recoveredState().folder().admitted());
         }
         assertThrows(LogStoreException.class, () -> LogStore.form(folder), "an initialized folder is rejected");
     }
@@ -135,7 +136,7 @@
     }
 
     private static List<String> texts(LogStore store) {
-        return store.stored().entries().stream()
+        return store.recoveredState().entries().stream()
                 .map(e -> e.index() + "/" + e.term() + "/" + new String(e.payload(), StandardCharsets.UTF_8))
                 .toList();
     }
--- a/log/src/test/java/org/hallwall/log/SimulatedVoter.java
+++ b/log/src/test/java/org/hallwall/log/SimulatedVoter.java
@@ -36,7 +36,7 @@
     private final List<InstanceId> voters;
     private final LogSimulation simulation;
     private final Random random;
-    private LogFolder folder;
+    private DataFolder folder;
     private LogVote vote = new LogVote(0, null);
     private LogSnapshot snapshot = LogSnapshot.EMPTY;
     private List<LogEntry> entries = new ArrayList<>();
@@ -49,13 +49,13 @@
         this.voters = voters;
         this.simulation = simulation;
         this.random = random;
-        this.folder = new LogFolder(id + "-0", true);
+        this.folder = new DataFolder(id + "-0", true);
     }
 
     /** Creates an empty instance at a new address, which has the current voters as its initial ones. */
     static SimulatedVoter blank(InstanceId id, List<InstanceId> voters, LogSimulation simulation, Random random) {
         SimulatedVoter v = new SimulatedVoter(id, voters, simulation, random);
-        v.folder = new LogFolder(id + "-0", false);
+        v.folder = new DataFolder(id + "-0", false);
         return v;
     }
 
@@ -80,13 +80,13 @@
         return applied;
     }
 
-    LogFolder folder() {
+    DataFolder folder() {
         return folder;
     }
 
     void start(long now) {
-        LogStored stored = new LogStored(folder, vote, snapshot, List.copyOf(entries));
-        replica = new LogReplica(new LogSeat(id, voters, simulation.timing()), stored, random, now);
+        RecoveredState recovered = new RecoveredState(folder, vote, snapshot, List.copyOf(entries));
+        replica = new LogReplica(new LogVoterConfig(id, voters, simulation.timing()), recovered, random, now);
         applied = snapshot.index();
     }
 
@@ -96,7 +96,7 @@
 
     void loseDisk() {
         lostDisks++;
-        folder = new LogFolder(id + "-" + lostDisks, false);
+        folder = new DataFolder(id + "-" + lostDisks, false);
         vote = new LogVote(0, null);
         snapshot = LogSnapshot.EMPTY;
         entries = new ArrayList<>();
--- a/program/src/main/java/org/hallwall/program/AdminServer.java
+++ b/program/src/main/java/org/hallwall/program/AdminServer.java
@@ -64,9 +64,9 @@
                 .route(routes -> routes.get("/healthz", (req, res) -> HttpReplies.text(res, 200, TEXT_TYPE, "ok\n"))
                         .get("/readyz", (req, res) -> readiness(res, ready))
                         .get("/metrics", (req, res) -> metrics(res, registry))
-                        .get("/debug/dump", (req, res) -> HttpReplies.pretty(res, dump.get()))
-                        .get("/debug/usage", (req, res) -> HttpReplies.pretty(res, usage(req))));
-        return new AdminServer(HttpPorts.bind(http, address));
+                        .get("/debug/dump", (req, res) -> HttpReplies.prettyJson(res, dump.get()))
+                        .get("/debug/usage", (req, res) -> HttpReplies.prettyJson(res, usage(req))));
+        return new AdminServer(HttpServerBinder.bind(http, address));
     }
 
     /**
--- a/program/src/main/java/org/hallwall/program/DaemonProgram.java
+++ b/program/src/main/java/org/hallwall/program/DaemonProgram.java
@@ -81,8 +81,8 @@
      *
      * @return standard error by default
      */
-    protected LogTarget logTarget() {
-        return LogTarget.STANDARD_ERROR;
+    protected LogOutput logTarget() {
+        return LogOutput.STANDARD_ERROR;
     }
 
     /**
@@ -103,7 +103,7 @@
      * @return whether such an option was handled, so that the program exits
      * @throws ProgramException if the option cannot be handled
      */
-    protected boolean runInstead(CommandLine line, S settings, PrintStream out) throws ProgramException {
+    protected boolean runAlternative(CommandLine line, S settings, PrintStream out) throws ProgramException {
         return false;
     }
 
@@ -130,7 +130,7 @@
             return dispatch(out, new DefaultParser().parse(options(), args));
         } catch (ParseException e) {
             err.println(name + ": " + e.getMessage() + " (see --help)");
-            return ExitCode.WRONG_USE;
+            return ExitCode.USAGE_ERROR;
         } catch (SettingsException e) {
             err.println(name + ": " + e.getMessage());
             return ExitCode.FAILURE;
@@ -147,7 +147,7 @@
             return ExitCode.SUCCESS;
         }
         if (line.hasOption(VERSION)) {
-            out.println(name + " " + ProgramVersion.text());
+            out.println(name + " " + ProgramVersion.version());
             return ExitCode.SUCCESS;
         }
         if (!line.hasOption(SETTINGS)) {
@@ -158,14 +158,14 @@
             out.println("settings are valid");
             return ExitCode.SUCCESS;
         }
-        if (!runInstead(line, settings, out)) {
+        if (!runAlternative(line, settings, out)) {
             serve(out, settings);
         }
         return ExitCode.SUCCESS;
     }
 
     private void serve(PrintStream out, S settings) throws ProgramException {
-        ProgramLogs.configure(settings.logFormat(), settings.logLevel(), logTarget());
+        LoggingSetup.configure(settings.logFormat(), settings.logLevel(), logTarget());
         CountDownLatch stopped = new CountDownLatch(1);
         CountDownLatch stopRequested = new CountDownLatch(1);
         Daemon daemon = start(settings);
--- a/program/src/main/java/org/hallwall/program/ExitCode.java
+++ b/program/src/main/java/org/hallwall/program/ExitCode.java
@@ -25,7 +25,7 @@
     /** The program failed. */
     FAILURE(1),
     /** The command line is invalid. */
-    WRONG_USE(2);
+    USAGE_ERROR(2);
 
     private final int code;
 
--- a/program/src/main/java/org/hallwall/program/HttpQuery.java
+++ b/program/src/main/java/org/hallwall/program/HttpQuery.java
@@ -52,7 +52,7 @@
      * @return the value
      * @throws RefusalException if the value is not a non-negative integer
      */
-    public long number(String name, long defaultValue) throws RefusalException {
+    public long nonNegativeLong(String name, long defaultValue) throws RefusalException {
         List<String> values = decoder.parameters().get(name);
         if (values == null) {
             return defaultValue;
--- a/program/src/main/java/org/hallwall/program/HttpReplies.java
+++ b/program/src/main/java/org/hallwall/program/HttpReplies.java
@@ -57,8 +57,8 @@
      * @param body the value to write
      * @return completes when the response has been sent
      */
-    public static Publisher<Void> pretty(HttpServerResponse res, Object body) {
-        return write(res, 200, JSON_TYPE, text(Json.PRETTY, body) + "\n");
+    public static Publisher<Void> prettyJson(HttpServerResponse res, Object body) {
+        return write(res, 200, JSON_TYPE, text(Json.PRETTY_MAPPER, body) + "\n");
     }
 
     /**
--- a/program/src/main/java/org/hallwall/program/HttpPorts.java
+++ b/program/src/main/java/org/hallwall/program/HttpServerBinder.java
@@ -24,9 +24,9 @@
 import reactor.netty.http.server.HttpServer;
 
 /** Binds HTTP servers. */
-public final class HttpPorts {
+public final class HttpServerBinder {
 
-    private HttpPorts() {}
+    private HttpServerBinder() {}
 
     /**
      * Binds a server and reports failures as a {@link ProgramException}.
--- a/program/src/main/java/org/hallwall/program/LogTarget.java
+++ b/program/src/main/java/org/hallwall/program/LogOutput.java
@@ -21,7 +21,7 @@
 import org.jboss.logmanager.handlers.ConsoleHandler;
 
 /** Destination of log lines. */
-public enum LogTarget {
+public enum LogOutput {
     /** Standard error, which keeps log lines separate from the program's output. */
     STANDARD_ERROR(ConsoleHandler.Target.SYSTEM_ERR),
     /** Standard output, from which container platforms collect logs. */
@@ -29,7 +29,7 @@
 
     private final ConsoleHandler.Target console;
 
-    LogTarget(ConsoleHandler.Target console) {
+    LogOutput(ConsoleHandler.Target console) {
         this.console = console;
     }
 
--- a/program/src/main/java/org/hallwall/program/ProgramLogs.java
+++ b/program/src/main/java/org/hallwall/program/LoggingSetup.java
@@ -26,25 +26,25 @@
 import org.jboss.logmanager.handlers.ConsoleHandler;
 
 /** Configures the logging of a program. */
-public final class ProgramLogs {
+public final class LoggingSetup {
 
     private static final String PROJECT_LOGGER = "org.hallwall";
 
-    private ProgramLogs() {}
+    private LoggingSetup() {}
 
     /**
      * Replaces the handlers of the root logger by a single console handler.
      *
      * @param format the format of log lines
      * @param level the minimum level of loggers below {@code org.hallwall}
-     * @param target the destination of log lines
+     * @param output the destination of log lines
      */
-    public static void configure(LogFormat format, String level, LogTarget target) {
+    public static void configure(LogFormat format, String level, LogOutput output) {
         Logger root = LogManager.getLogManager().getLogger("");
         for (Handler h : root.getHandlers()) {
             root.removeHandler(h);
         }
-        ConsoleHandler handler = new ConsoleHandler(target.console(), format.formatter());
+        ConsoleHandler handler = new ConsoleHandler(output.console(), format.formatter());
         handler.setLevel(Level.ALL);
         root.addHandler(handler);
         root.setLevel(Level.WARNING);
--- a/program/src/main/java/org/hallwall/program/ProgramVersion.java
+++ b/program/src/main/java/org/hallwall/program/ProgramVersion.java
@@ -30,7 +30,7 @@
      *
      * @return the version
      */
-    public static String text() {
+    public static String version() {
         String version = ProgramVersion.class.getPackage().getImplementationVersion();
         return version == null ? DEVELOPMENT_VERSION : version;
     }
--- a/resource/src/main/java/org/hallwall/resource/DeclarationCache.java
+++ b/resource/src/main/java/org/hallwall/resource/DeclarationCache.java
@@ -36,7 +36,7 @@
      * @param changes the changes
      * @return true if the changes were applied
      */
-    public synchronized boolean take(Changes changes) {
+    public synchronized boolean applyChanges(Changes changes) {
         if (changes.version() <= current.version()) {
             return false;
         }
--- a/resource/src/main/java/org/hallwall/resource/Declarations.java
+++ b/resource/src/main/java/org/hallwall/resource/Declarations.java
@@ -124,7 +124,7 @@
      * @param id the model group
      * @return its spec; null if it is not declared
      */
-    public ModelGroupSpec modelGroup(ModelGroupId id) {
+    public ModelGroupSpec modelGroupSpec(ModelGroupId id) {
         return modelGroupSpecs.get(id);
     }
 
@@ -143,7 +143,7 @@
      * @param keySha256 the SHA-256 hash of the key
      * @return the workspace; null if the key is unknown
      */
-    public WorkspaceId workspaceOf(String keySha256) {
+    public WorkspaceId findWorkspaceByKeyHash(String keySha256) {
         return keys.get(keySha256);
     }
 
@@ -153,7 +153,7 @@
      * @param id the service
      * @return its spec; null if it is not declared
      */
-    public ServiceSpec service(ServiceId id) {
+    public ServiceSpec serviceSpec(ServiceId id) {
         return services.get(id);
     }
 }
--- a/resource/src/main/java/org/hallwall/resource/EngineRole.java
+++ b/resource/src/main/java/org/hallwall/resource/EngineRole.java
@@ -32,7 +32,7 @@
      *
      * @return true if so
      */
-    public boolean servesWhole() {
+    public boolean servesFullRequests() {
         return this == BOTH;
     }
 }
--- a/resource/src/main/java/org/hallwall/resource/ResourceKind.java
+++ b/resource/src/main/java/org/hallwall/resource/ResourceKind.java
@@ -21,7 +21,7 @@
 import java.util.List;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import org.hallwall.core.settings.SettingsFault;
+import org.hallwall.core.settings.SettingsError;
 import org.hallwall.core.settings.SettingsSchema;
 
 /** The kinds of resources, with their JSON schema and their names in declarations and paths. */
@@ -94,7 +94,7 @@
      * @param spec the spec
      * @return all validation errors; empty if the spec is valid
      */
-    public List<SettingsFault> check(JsonNode spec) {
-        return schema.check(spec);
+    public List<SettingsError> check(JsonNode spec) {
+        return schema.validate(spec);
     }
 }
--- a/resource/src/main/java/org/hallwall/resource/ResourceMessage.java
+++ b/resource/src/main/java/org/hallwall/resource/ResourceMessage.java
@@ -24,8 +24,8 @@
 import org.hallwall.core.id.FailureDomainId;
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.verdict.Verdict;
-import org.hallwall.wire.PeerKinds;
 import org.hallwall.wire.PeerMessage;
+import org.hallwall.wire.PeerMessageTypes;
 
 /** A message between entries and voters, or between voters, about declarations and status. */
 public sealed interface ResourceMessage extends PeerMessage {
@@ -33,19 +33,20 @@
     /**
      * Registers the message types of this interface.
      *
-     * @param kinds the registry of message types
+     * @param messageTypes the registry of message types
      */
-    static void register(PeerKinds kinds) {
-        kinds.add(20, Watch.class)
-                .add(21, Changes.class)
-                .add(22, EntryReport.class)
-                .add(23, DomainReport.class)
-                .add(24, Command.class)
-                .add(25, CommandReply.class)
-                .add(26, ReadIndex.class)
-                .add(27, ReadIndexReply.class)
-                .add(28, FormDomain.class)
-                .add(29, FormedDomain.class);
+    static void register(PeerMessageTypes messageTypes) {
+        messageTypes
+                .register(20, Watch.class)
+                .register(21, Changes.class)
+                .register(22, EntryReport.class)
+                .register(23, DomainReport.class)
+                .register(24, Command.class)
+                .register(25, CommandReply.class)
+                .register(26, ReadIndex.class)
+                .register(27, ReadIndexReply.class)
+                .register(28, FormDomain.class)
+                .register(29, FormedDomain.class);
     }
 
     /**
--- a/serving/src/main/java/org/hallwall/serving/availability/NoticeReader.java
+++ b/serving/src/main/java/org/hallwall/serving/availability/NoticeParser.java
@@ -24,10 +24,10 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 import org.hallwall.core.id.InstanceId;
-import org.hallwall.serving.target.StartedTarget;
+import org.hallwall.serving.target.TargetIds;
 
 /** Parses what the status and headers of a response declare about its target. */
-public final class NoticeReader {
+public final class NoticeParser {
 
     private static final String LEAVING_VALUE = "1";
     private static final int TOO_MANY_REQUESTS = 429;
@@ -47,7 +47,7 @@
      * @param answeredBy the name of the header with the target that has answered
      * @param rateLimit the name of the header with the requests per second that a target accepts from all entries
      */
-    public NoticeReader(String leaving, String answeredBy, String rateLimit) {
+    public NoticeParser(String leaving, String answeredBy, String rateLimit) {
         this.leaving = leaving;
         this.answeredBy = answeredBy;
         this.rateLimit = rateLimit;
@@ -71,9 +71,8 @@
      * @param headers the response's headers
      * @return the notice; {@link TargetNotice#NONE} if another target has answered at the same address
      */
-    public TargetNotice read(InstanceId target, int status, HttpHeaders headers) {
-        boolean misdirected =
-                status == MISDIRECTED && !StartedTarget.name(target).equals(headers.get(answeredBy));
+    public TargetNotice parse(InstanceId target, int status, HttpHeaders headers) {
+        boolean misdirected = status == MISDIRECTED && !TargetIds.name(target).equals(headers.get(answeredBy));
         if (misdirected) {
             return TargetNotice.NONE;
         }
--- a/serving/src/main/java/org/hallwall/serving/availability/TargetAvailability.java
+++ b/serving/src/main/java/org/hallwall/serving/availability/TargetAvailability.java
@@ -56,7 +56,7 @@
             return size() > MAX_TARGETS;
         }
     };
-    private long unread;
+    private long malformedNotices;
     private long malformedLoggedAt = Long.MIN_VALUE / 2;
 
     /**
@@ -77,8 +77,8 @@
      * @param notice the notice of the response
      * @param requestedAt the ticker time at which the request was sent
      */
-    public void takeAnswer(InstanceId target, TargetNotice notice, long requestedAt) {
-        take(target, notice, requestedAt);
+    public void applyResponse(InstanceId target, TargetNotice notice, long requestedAt) {
+        applyNotice(target, notice, requestedAt);
         if (notice.limit() == null && notice.malformed() == null) {
             limiter.applyStatement(target, new LimitStatement(null, requestedAt, ticker.millis()));
         }
@@ -90,11 +90,11 @@
      * @param target the target's start
      * @param notice the notice of the response
      */
-    public void take(InstanceId target, TargetNotice notice) {
-        take(target, notice, UNKNOWN_TIME);
+    public void applyNotice(InstanceId target, TargetNotice notice) {
+        applyNotice(target, notice, UNKNOWN_TIME);
     }
 
-    private synchronized void take(InstanceId target, TargetNotice notice, long requestedAt) {
+    private synchronized void applyNotice(InstanceId target, TargetNotice notice, long requestedAt) {
         if (notice.malformed() != null) {
             recordMalformed(target, notice.malformed());
         }
@@ -123,11 +123,11 @@
     }
 
     private void recordMalformed(InstanceId target, String text) {
-        unread++;
+        malformedNotices++;
         long now = ticker.millis();
         if (now - malformedLoggedAt >= MALFORMED_LOG_INTERVAL_MILLIS) {
             malformedLoggedAt = now;
-            LOG.warnf("targets: malformed notice in a response of %s: %s; %d so far", target, text, unread);
+            LOG.warnf("targets: malformed notice in a response of %s: %s; %d so far", target, text, malformedNotices);
         }
     }
 
@@ -153,7 +153,7 @@
      * @param target the target's start
      * @return true if it may be sent
      */
-    public synchronized boolean tryRequest(InstanceId target) {
+    public synchronized boolean tryAcquireForRequest(InstanceId target) {
         TargetCondition c = conditions.get(target);
         boolean available = c == null || c.isAvailable(ticker.millis());
         return available && limiter.tryAcquire(target);
@@ -165,7 +165,7 @@
      * @param target the target's start
      * @return true if it may be sent
      */
-    public synchronized boolean tryControl(InstanceId target) {
+    public synchronized boolean tryAcquireForControl(InstanceId target) {
         return !isBackingOff(target) && limiter.tryAcquire(target);
     }
 
@@ -175,7 +175,7 @@
      * @param target the target's start
      * @return true if it may be sent
      */
-    public synchronized boolean mayProbe(InstanceId target) {
+    public synchronized boolean canProbe(InstanceId target) {
         return !isBackingOff(target) && limiter.hasPermit(target);
     }
 
@@ -237,7 +237,7 @@
      *
      * @return the descriptions by target
      */
-    public synchronized Map<String, String> unavailable() {
+    public synchronized Map<String, String> describeUnavailable() {
         long now = ticker.millis();
         Map<String, String> out = new TreeMap<>();
         conditions.forEach((target, c) -> {
@@ -255,7 +255,7 @@
      *
      * @return the number of targets
      */
-    public synchronized int backingOff() {
+    public synchronized int backingOffCount() {
         long now = ticker.millis();
         return (int)
                 conditions.values().stream().filter(c -> c.isBackingOff(now)).count();
@@ -266,7 +266,7 @@
      *
      * @return the number of targets
      */
-    public synchronized int draining() {
+    public synchronized int drainingCount() {
         return (int)
                 conditions.values().stream().filter(TargetCondition::isDraining).count();
     }
@@ -276,7 +276,7 @@
      *
      * @return the number of responses
      */
-    public synchronized long unread() {
-        return unread;
+    public synchronized long malformedNotices() {
+        return malformedNotices;
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/availability/package-info.java
+++ b/serving/src/main/java/org/hallwall/serving/availability/package-info.java
@@ -20,7 +20,7 @@
  * Availability of targets: backoff, draining and rate limits.
  *
  * <p>The candidates for a request are the available targets ({@code TargetAvailability.isAvailable}). Once a connection is established,
- * {@code tryRequest} checks again and uses a permit. The response's {@code TargetNotice} updates the availability. Probes and orders use
- * {@code tryControl}.
+ * {@code tryAcquireForRequest} checks again and uses a permit. The response's {@code TargetNotice} updates the availability. Probes and
+ * orders use {@code tryAcquireForControl}.
  */
 package org.hallwall.serving.availability;
--- a/serving/src/main/java/org/hallwall/serving/config/CallerLimits.java
+++ b/serving/src/main/java/org/hallwall/serving/config/CallerLimits.java
@@ -21,12 +21,12 @@
 /**
  * Limits on requests and connections of callers.
  *
- * @param headerBytes the maximum size of a request's header section, in bytes
- * @param bodyBytes the maximum size of a request's body, in bytes
- * @param headerMillis the timeout for receiving the header section, in milliseconds
- * @param idleMillis the idle timeout of a persistent connection, in milliseconds
+ * @param maxHeaderBytes the maximum size of a request's header section, in bytes
+ * @param maxBodyBytes the maximum size of a request's body, in bytes
+ * @param headerTimeoutMillis the timeout for receiving the header section, in milliseconds
+ * @param idleTimeoutMillis the idle timeout of a persistent connection, in milliseconds
  */
-public record CallerLimits(int headerBytes, int bodyBytes, long headerMillis, long idleMillis) {
+public record CallerLimits(int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
 
     /** The limits before a configuration is received; the values of the platform's example. */
     public static final CallerLimits DEFAULT = new CallerLimits(16_384, 4_194_304, 3_000, 15_000);
--- a/serving/src/main/java/org/hallwall/serving/config/Configuration.java
+++ b/serving/src/main/java/org/hallwall/serving/config/Configuration.java
@@ -39,7 +39,8 @@
         CallerLimits limits) {
 
     /** The empty configuration before the first one is received. */
-    public static final Configuration NONE = new Configuration(0, List.of(), Map.of(), List.of(), CallerLimits.DEFAULT);
+    public static final Configuration EMPTY =
+            new Configuration(0, List.of(), Map.of(), List.of(), CallerLimits.DEFAULT);
 
     /**
      * Returns the services that have model engines.
--- a/serving/src/main/java/org/hallwall/serving/config/ConfigurationCheck.java
+++ b/serving/src/main/java/org/hallwall/serving/config/ConfigurationValidator.java
@@ -24,9 +24,9 @@
 import java.util.Set;
 
 /** Validates a parsed configuration; an invalid one is rejected as a whole. */
-public final class ConfigurationCheck {
+public final class ConfigurationValidator {
 
-    private ConfigurationCheck() {}
+    private ConfigurationValidator() {}
 
     /**
      * Validates a configuration.
@@ -34,7 +34,7 @@
      * @param c the configuration
      * @throws ConfigurationException if it is not valid
      */
-    public static void check(Configuration c) throws ConfigurationException {
+    public static void validate(Configuration c) throws ConfigurationException {
         if (c.version() <= 0) {
             throw new ConfigurationException("the version must be above zero");
         }
--- a/serving/src/main/java/org/hallwall/serving/config/EngineModel.java
+++ b/serving/src/main/java/org/hallwall/serving/config/EngineModel.java
@@ -24,8 +24,9 @@
  * @param name the model's name
  * @param size the number of engines of a group
  * @param share its declared share of the demand
- * @param pace a factor on the processing times of a group
- * @param loadSeconds the duration of a load from the weight store, in seconds
- * @param warmSeconds the duration of a load from the host, in seconds
+ * @param timeFactor a factor on the processing times of a group
+ * @param storeLoadSeconds the duration of a load from the weight store, in seconds
+ * @param hostLoadSeconds the duration of a load from the host, in seconds
  */
-public record EngineModel(String name, int size, double share, double pace, double loadSeconds, double warmSeconds) {}
+public record EngineModel(
+        String name, int size, double share, double timeFactor, double storeLoadSeconds, double hostLoadSeconds) {}
--- a/serving/src/main/java/org/hallwall/serving/config/EngineSpec.java
+++ b/serving/src/main/java/org/hallwall/serving/config/EngineSpec.java
@@ -25,18 +25,18 @@
  *
  * @param slots the number of concurrent requests of a group
  * @param models the models
- * @param loadsPerSecond the maximum rate at which loads from the weight store start
- * @param loadsAtOnce the number of concurrent loads that run at full speed
- * @param farFactor the factor by which a cross-domain group is slower
- * @param formMillis the time from the order to open until a head serves, in milliseconds
+ * @param maxLoadsPerSecond the maximum rate at which loads from the weight store start
+ * @param maxConcurrentLoads the number of concurrent loads that run at full speed
+ * @param crossDomainFactor the factor by which a cross-domain group is slower
+ * @param openMillis the time from the order to open until a head serves, in milliseconds
  */
 public record EngineSpec(
         int slots,
         List<EngineModel> models,
-        double loadsPerSecond,
-        int loadsAtOnce,
-        double farFactor,
-        double formMillis) {
+        double maxLoadsPerSecond,
+        int maxConcurrentLoads,
+        double crossDomainFactor,
+        double openMillis) {
 
     /**
      * Returns a model by name.
--- a/serving/src/main/java/org/hallwall/serving/config/RequestKind.java
+++ b/serving/src/main/java/org/hallwall/serving/config/RequestKind.java
@@ -23,21 +23,21 @@
     /** A request may be executed more than once. */
     IDEMPOTENT {
         @Override
-        public boolean mayRepeat(boolean resumable) {
+        public boolean isRetryable(boolean resumable) {
             return true;
         }
     },
     /** A request is executed at most once. */
     NON_IDEMPOTENT {
         @Override
-        public boolean mayRepeat(boolean resumable) {
+        public boolean isRetryable(boolean resumable) {
             return false;
         }
     },
     /** The response is a stream of events; a request may be executed again only if the stream can be resumed. */
     STREAM {
         @Override
-        public boolean mayRepeat(boolean resumable) {
+        public boolean isRetryable(boolean resumable) {
             return resumable;
         }
     };
@@ -48,5 +48,5 @@
      * @param resumable whether the route's streams can be resumed
      * @return true if it may be executed more than once
      */
-    public abstract boolean mayRepeat(boolean resumable);
+    public abstract boolean isRetryable(boolean resumable);
 }
--- a/serving/src/main/java/org/hallwall/serving/config/Route.java
+++ b/serving/src/main/java/org/hallwall/serving/config/Route.java
@@ -28,13 +28,13 @@
  * @param pathPrefix the prefix of the path, with a leading and a trailing slash
  * @param kind the retry semantics
  * @param timeoutMillis the request timeout, in milliseconds
- * @param objectiveMillis the latency objective, in milliseconds
+ * @param latencyObjectiveMillis the latency objective, in milliseconds
  * @param priority the priority; zero is the highest
  * @param weightedServices the services with their weights
- * @param attempts the maximum number of targets that a request is sent to
+ * @param maxAttempts the maximum number of targets that a request is sent to
  * @param anonymous whether requests need no key
  * @param resumable whether streams can be resumed at another target
- * @param pauseMillis the objective for the gap between events, in milliseconds; zero if the route has none
+ * @param maxEventGapMillis the objective for the gap between events, in milliseconds; zero if the route has none
  */
 public record Route(
         String name,
@@ -42,13 +42,13 @@
         String pathPrefix,
         RequestKind kind,
         long timeoutMillis,
-        long objectiveMillis,
+        long latencyObjectiveMillis,
         int priority,
         List<WeightedService> weightedServices,
-        int attempts,
+        int maxAttempts,
         boolean anonymous,
         boolean resumable,
-        long pauseMillis) {
+        long maxEventGapMillis) {
 
     /**
      * A service and its weight in a split.
@@ -63,8 +63,8 @@
      *
      * @return true if it may be executed more than once
      */
-    public boolean mayRepeat() {
-        return kind.mayRepeat(resumable);
+    public boolean isRetryable() {
+        return kind.isRetryable(resumable);
     }
 
     /**
@@ -73,7 +73,7 @@
      * @param draw a random number from 0 (inclusive) to 1 (exclusive)
      * @return the service's name
      */
-    public String service(double draw) {
+    public String selectService(double draw) {
         long totalWeight = 0;
         for (WeightedService s : weightedServices) {
             totalWeight += s.weight();
--- a/serving/src/main/java/org/hallwall/serving/config/RouteTable.java
+++ b/serving/src/main/java/org/hallwall/serving/config/RouteTable.java
@@ -68,7 +68,7 @@
      * @param path the path, with or without a query
      * @return the route, or null if none matches
      */
-    public Route route(String host, String path) {
+    public Route findRoute(String host, String path) {
         if (host == null) {
             return null;
         }
@@ -90,7 +90,7 @@
      * @param key the key; may be null
      * @return the workspace, or null if the key is unknown
      */
-    public WorkspaceKeys workspace(String key) {
+    public WorkspaceKeys findWorkspace(String key) {
         return key == null ? null : workspacesByKey.get(key);
     }
 
@@ -99,7 +99,7 @@
      *
      * @return true if the configuration has workspaces
      */
-    public boolean needsKeys() {
+    public boolean requiresKeys() {
         return !configuration.workspaces().isEmpty();
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/control/ConfigurationReply.java
+++ b/serving/src/main/java/org/hallwall/serving/control/ConfigurationReply.java
@@ -42,14 +42,14 @@
      *
      * @param api the address of its API
      */
-    record Elsewhere(NetAddress api) implements ConfigurationReply {}
+    record Redirect(NetAddress api) implements ConfigurationReply {}
 
     /**
      * The outcome is unknown; the call may be retried at any control instance.
      *
      * @param reason the reason
      */
-    record Unsure(String reason) implements ConfigurationReply {}
+    record OutcomeUnknown(String reason) implements ConfigurationReply {}
 
     /**
      * The current configuration.
--- a/serving/src/main/java/org/hallwall/serving/control/ConfigurationService.java
+++ b/serving/src/main/java/org/hallwall/serving/control/ConfigurationService.java
@@ -96,14 +96,14 @@
     private Mono<ConfigurationReply> leaderOnly(Mono<ConfigurationReply> reply) {
         InstanceId leader = voter.state().leader();
         if (leader == null) {
-            return Mono.just(new ConfigurationReply.Unsure("no leader is known"));
+            return Mono.just(new ConfigurationReply.OutcomeUnknown("no leader is known"));
         }
         if (!leader.equals(self)) {
-            return Mono.just(new ConfigurationReply.Elsewhere(apiAddresses.apply(leader)));
+            return Mono.just(new ConfigurationReply.Redirect(apiAddresses.apply(leader)));
         }
         return reply.timeout(COMMIT_TIMEOUT).onErrorResume(e -> {
             LOG.warnf("configuration: the outcome is unknown: %s", e.getMessage());
-            return Mono.just(new ConfigurationReply.Unsure("the leader has no quorum"));
+            return Mono.just(new ConfigurationReply.OutcomeUnknown("the leader has no quorum"));
         });
     }
 
@@ -111,13 +111,13 @@
         if (stateMachine.current().version() >= version) {
             return readLinearizably(() -> accepted(version));
         }
-        byte[] command = ConfigurationStateMachine.command(version, PackedBytes.pack(bytes));
+        byte[] command = ConfigurationStateMachine.command(version, Gzip.compress(bytes));
         return Mono.fromFuture(voter.propose(command)).map(currentVersion -> accepted(version));
     }
 
     /** Serves a linearizable read: a quorum confirms the index, since the lease may have expired while the machine was suspended. */
     private Mono<ConfigurationReply> readLinearizably(Supplier<ConfigurationReply> reply) {
-        return Mono.fromFuture(voter.confirmedIndex()).map(index -> reply.get());
+        return Mono.fromFuture(voter.quorumReadIndex()).map(index -> reply.get());
     }
 
     private ConfigurationReply accepted(long version) {
@@ -129,13 +129,13 @@
     private ConfigurationReply currentContent() {
         ConfigurationStateMachine.StoredConfiguration stored = stateMachine.current();
         if (stored.version() == 0) {
-            return new ConfigurationReply.Unsure("no configuration was accepted yet");
+            return new ConfigurationReply.OutcomeUnknown("no configuration was accepted yet");
         }
         try {
-            return new ConfigurationReply.Content(PackedBytes.unpack(stored.compressed()));
+            return new ConfigurationReply.Content(Gzip.decompress(stored.compressed()));
         } catch (IOException e) {
             LOG.errorf(e, "configuration: version %d cannot be decompressed", stored.version());
-            return new ConfigurationReply.Unsure("the configuration is damaged here");
+            return new ConfigurationReply.OutcomeUnknown("the configuration is damaged here");
         }
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/control/ConfigurationStateMachine.java
+++ b/serving/src/main/java/org/hallwall/serving/control/ConfigurationStateMachine.java
@@ -20,14 +20,14 @@
 
 import java.nio.ByteBuffer;
 
-import org.hallwall.log.LogMachine;
+import org.hallwall.log.StateMachine;
 
 /**
  * The state machine of the configuration: the operator's bytes of the highest accepted version.
  *
  * <p>A command consists of the version in eight bytes and the compressed bytes of the configuration.
  */
-public final class ConfigurationStateMachine implements LogMachine {
+public final class ConfigurationStateMachine implements StateMachine {
 
     private static final byte[] EMPTY = new byte[0];
 
--- a/serving/src/main/java/org/hallwall/serving/control/ControlMembers.java
+++ b/serving/src/main/java/org/hallwall/serving/control/ControlMembers.java
@@ -32,7 +32,7 @@
 import org.hallwall.log.LogStoreException;
 import org.hallwall.serving.target.FeedMessage.ControlMember;
 import org.hallwall.serving.target.FeedMessage.Members;
-import org.hallwall.serving.target.FeedMessage.MembersQuestion;
+import org.hallwall.serving.target.FeedMessage.MembersRequest;
 import org.hallwall.wire.PeerLink;
 import org.jboss.logging.Logger;
 import reactor.core.publisher.Flux;
@@ -110,14 +110,14 @@
     /**
      * Queries the seeds until one returns the members.
      *
-     * @param question the query
+     * @param request the query
      * @param seeds links to the seeds
      * @return the members
      */
-    public static List<ControlMember> discover(MembersQuestion question, List<PeerLink> seeds) {
+    public static List<ControlMember> discover(MembersRequest request, List<PeerLink> seeds) {
         while (true) {
             Members found = Flux.fromIterable(seeds)
-                    .flatMap(l -> l.call(question, QUERY_TIMEOUT)
+                    .flatMap(l -> l.call(request, QUERY_TIMEOUT)
                             .cast(Members.class)
                             .filter(m -> !m.members().isEmpty())
                             .onErrorResume(e -> Mono.empty()))
--- a/serving/src/main/java/org/hallwall/serving/control/ControlMembership.java
+++ b/serving/src/main/java/org/hallwall/serving/control/ControlMembership.java
@@ -27,12 +27,12 @@
 
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.time.Ticker;
-import org.hallwall.log.LogState;
 import org.hallwall.log.LogVoter;
+import org.hallwall.log.ReplicaState;
 import org.hallwall.serving.target.FeedMessage.ControlMember;
 import org.hallwall.serving.target.FeedMessage.JoinRequest;
 import org.hallwall.serving.target.FeedMessage.Members;
-import org.hallwall.serving.target.FeedMessage.MembersQuestion;
+import org.hallwall.serving.target.FeedMessage.MembersRequest;
 import org.hallwall.wire.PeerLink;
 import org.jboss.logging.Logger;
 import reactor.core.Disposable;
@@ -94,7 +94,7 @@
     }
 
     private void checkMembership() {
-        LogState state = voter.state();
+        ReplicaState state = voter.state();
         InstanceId self = settings.self().instance();
         List<InstanceId> others =
                 state.voters().stream().filter(v -> !v.equals(self)).toList();
@@ -114,7 +114,7 @@
     private void queryWhetherReplaced(InstanceId self, List<InstanceId> others) {
         Flux.fromIterable(others)
                 .flatMap(o -> links.apply(o)
-                        .call(new MembersQuestion(self), QUERY_TIMEOUT)
+                        .call(new MembersRequest(self), QUERY_TIMEOUT)
                         .cast(Members.class)
                         .onErrorResume(e -> Mono.empty()))
                 .filter(m -> !m.members().isEmpty())
--- a/serving/src/main/java/org/hallwall/serving/control/ControlNode.java
+++ b/serving/src/main/java/org/hallwall/serving/control/ControlNode.java
@@ -29,11 +29,11 @@
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.time.Ticker;
 import org.hallwall.log.LogMessage;
-import org.hallwall.log.LogSeat;
 import org.hallwall.log.LogStore;
 import org.hallwall.log.LogStoreException;
 import org.hallwall.log.LogTiming;
 import org.hallwall.log.LogVoter;
+import org.hallwall.log.LogVoterConfig;
 import org.hallwall.program.ExitCode;
 import org.hallwall.serving.config.Configuration;
 import org.hallwall.serving.config.ConfigurationException;
@@ -42,18 +42,18 @@
 import org.hallwall.serving.group.ControllerInputs;
 import org.hallwall.serving.group.GroupController;
 import org.hallwall.serving.group.TargetGateway;
-import org.hallwall.serving.permit.PermitLedger;
+import org.hallwall.serving.permit.PermitAllocator;
 import org.hallwall.serving.target.FeedFollower;
 import org.hallwall.serving.target.FeedMessage;
 import org.hallwall.serving.target.FeedMessage.ControlMember;
-import org.hallwall.serving.target.StartedTarget;
 import org.hallwall.serving.target.TargetDirectory;
 import org.hallwall.serving.target.TargetFeed;
+import org.hallwall.serving.target.TargetIds;
 import org.hallwall.serving.target.TargetRecord;
 import org.hallwall.wire.PeerCodec;
-import org.hallwall.wire.PeerKinds;
 import org.hallwall.wire.PeerLink;
 import org.hallwall.wire.PeerMessage;
+import org.hallwall.wire.PeerMessageTypes;
 import org.hallwall.wire.PeerServer;
 import org.jboss.logging.Logger;
 import reactor.core.publisher.Mono;
@@ -70,19 +70,19 @@
     private final Map<InstanceId, FeedFollower> followers = new ConcurrentHashMap<>();
     private final EntryReports entryReports;
     private final LoadSummary loadSummary;
-    private final PermitLedger permits;
+    private final PermitAllocator permits;
     private final TargetFeed feed;
     private final TargetDirectory directory;
     private final ConfigurationStateMachine configurationMachine;
-    private final CrashLedger ledger = new CrashLedger();
-    private final AtomicReference<Configuration> parsedConfiguration = new AtomicReference<>(Configuration.NONE);
-    private final PeerCodec codec = new PeerCodec(kinds());
+    private final CrashLedger crashLedger = new CrashLedger();
+    private final AtomicReference<Configuration> parsedConfiguration = new AtomicReference<>(Configuration.EMPTY);
+    private final PeerCodec codec = new PeerCodec(messageTypes());
     private final PeerServer peerServer;
     private final ControlMembership membership;
     private LogStore store;
     private LogVoter voter;
     private GroupController groupController;
-    private ConfigurationService service;
+    private ConfigurationService configurationService;
     private CrashService crashService;
 
     /**
@@ -92,7 +92,7 @@
      * @param reader parses configurations
      * @param permits the permits of targets with a rate limit
      */
-    public ControlNode(ControlNodeSettings settings, ConfigurationReader reader, PermitLedger permits) {
+    public ControlNode(ControlNodeSettings settings, ConfigurationReader reader, PermitAllocator permits) {
         this.settings = settings;
         this.reader = reader;
         this.entryReports = new EntryReports(settings.firstStart(), ticker);
@@ -100,7 +100,7 @@
         this.permits = permits;
         this.feed = new TargetFeed(ticker);
         this.directory = new TargetDirectory(ticker);
-        this.configurationMachine = new ConfigurationStateMachine(feed::wake);
+        this.configurationMachine = new ConfigurationStateMachine(feed::completeWaiting);
         this.membership = new ControlMembership(settings, this::linkTo, this::startFollower, ticker);
         this.peerServer = new PeerServer(settings.fleet(), codec, this::handle);
     }
@@ -110,11 +110,11 @@
      *
      * @return the types by number
      */
-    public static PeerKinds kinds() {
-        PeerKinds kinds = new PeerKinds();
-        LogMessage.register(kinds);
-        FeedMessage.register(kinds);
-        return kinds;
+    public static PeerMessageTypes messageTypes() {
+        PeerMessageTypes messageTypes = new PeerMessageTypes();
+        LogMessage.register(messageTypes);
+        FeedMessage.register(messageTypes);
+        return messageTypes;
     }
 
     /**
@@ -129,18 +129,19 @@
         LOG.infof("control: %s starts, members %s", settings.self().instance(), members);
         store = LogStore.open(settings.dataFolder());
         voter = new LogVoter(
-                new LogSeat(settings.self().instance(), members, settings.toleratedDiskLosses(), LogTiming.DEFAULT),
+                new LogVoterConfig(
+                        settings.self().instance(), members, settings.toleratedDiskLosses(), LogTiming.DEFAULT),
                 store,
-                new ControlStateMachine(configurationMachine, ledger, feed::wake),
+                new ControlStateMachine(configurationMachine, crashLedger, feed::completeWaiting),
                 (to, message) -> linkTo(to).send(message),
                 ticker,
                 new SecureRandom(),
                 () -> Runtime.getRuntime().halt(ExitCode.FAILURE.code()));
         ControllerInputs view = new ControllerInputs(directory, this::configuration, entryReports::streams);
         groupController = new GroupController(
-                voter, view, gateway, feed::markLost, settings.timing(), settings.mechanisms(), ticker);
-        crashService = new CrashService(voter, ledger, System::currentTimeMillis);
-        service = new ConfigurationService(
+                voter, view, gateway, feed::setLost, settings.timing(), settings.mechanisms(), ticker);
+        crashService = new CrashService(voter, crashLedger, System::currentTimeMillis);
+        configurationService = new ConfigurationService(
                 settings.self().instance(),
                 voter,
                 configurationMachine,
@@ -159,8 +160,8 @@
      */
     public void announce(TargetRecord record) {
         boolean changed = feed.announce(record);
-        directory.take(record);
-        directory.heard(record.instance());
+        directory.applyRecord(record);
+        directory.recordHeartbeat(record.instance());
         if (changed) {
             LOG.infof("targets: %s", record);
         }
@@ -172,12 +173,12 @@
      * @param name the target's name
      */
     public void leave(String name) {
-        TargetRecord known = directory.findNamed(name);
-        InstanceId instance = known == null ? StartedTarget.id(name, 0) : known.instance();
+        TargetRecord known = directory.findByName(name);
+        InstanceId instance = known == null ? TargetIds.id(name, 0) : known.instance();
         LOG.infof("targets: %s shuts down, last announcement %s", name, known);
-        feed.leave(instance, known);
+        feed.recordShutdown(instance, known);
         if (known != null) {
-            directory.take(known.with(Long.MAX_VALUE, TargetRecord.Presence.GONE));
+            directory.applyRecord(known.with(Long.MAX_VALUE, TargetRecord.Presence.GONE));
         }
     }
 
@@ -186,8 +187,8 @@
      *
      * @return the service; null unless the log is open and this instance is a voter
      */
-    public ConfigurationService service() {
-        return isMember() ? service : null;
+    public ConfigurationService configurationService() {
+        return isMember() ? configurationService : null;
     }
 
     /**
@@ -216,8 +217,8 @@
      *
      * @return the replicated ledger of requests during which targets crashed
      */
-    public CrashLedger ledger() {
-        return ledger;
+    public CrashLedger crashLedger() {
+        return crashLedger;
     }
 
     /**
@@ -263,7 +264,7 @@
             memberList.initialize(found);
         } else if (found.isEmpty()) {
             found = ControlMembers.discover(
-                    new FeedMessage.MembersQuestion(settings.self().instance()),
+                    new FeedMessage.MembersRequest(settings.self().instance()),
                     settings.seeds().stream()
                             .map(ControlMember::instance)
                             .filter(s -> !s.equals(settings.self().instance()))
@@ -300,9 +301,9 @@
                 : v.state().voters().stream().map(settings::member).toList();
     }
 
-    private void applyNews(FeedMessage.News news) {
-        news.records().forEach(directory::take);
-        news.heard().forEach(directory::heard);
+    private void applyNews(FeedMessage.Changes news) {
+        news.records().forEach(directory::applyRecord);
+        news.heard().forEach(directory::recordHeartbeat);
     }
 
     private Configuration configuration() {
@@ -312,7 +313,7 @@
             return parsed;
         }
         try {
-            Configuration updated = reader.read(PackedBytes.unpack(stored.compressed()));
+            Configuration updated = reader.read(Gzip.decompress(stored.compressed()));
             parsedConfiguration.set(updated);
             return updated;
         } catch (IOException | ConfigurationException e) {
@@ -331,53 +332,53 @@
         if (message instanceof FeedMessage.Poll m) {
             return answerPoll(from, m);
         }
-        if (message instanceof FeedMessage.MembersQuestion) {
+        if (message instanceof FeedMessage.MembersRequest) {
             // without a leader the list of members may be outdated
             boolean hasLeader = voter != null && voter.state().leader() != null;
             return Mono.just(new FeedMessage.Members(hasLeader ? members() : List.of()));
         }
         if (message instanceof FeedMessage.JoinRequest m && voter != null) {
-            voter.consider(m.from());
+            voter.handleJoinRequest(m.from());
             return Mono.empty();
         }
         if (message instanceof FeedMessage.LoadReport m) {
             boolean leading = voter != null && voter.holdsLease();
             return Mono.just(
                     leading
-                            ? new FeedMessage.LoadSums(true, loadSummary.update(from, m.running()), permits.limits())
-                            : new FeedMessage.LoadSums(false, Map.of(), List.of()));
+                            ? new FeedMessage.LoadTotals(true, loadSummary.update(from, m.running()), permits.limits())
+                            : new FeedMessage.LoadTotals(false, Map.of(), List.of()));
         }
         if (message instanceof FeedMessage.PermitRequest m) {
             boolean leading = voter != null && voter.holdsLease();
-            return Mono.just(new FeedMessage.Permits(leading, leading ? permits.take(from, m.asks()) : List.of()));
+            return Mono.just(new FeedMessage.Permits(leading, leading ? permits.allocate(from, m.asks()) : List.of()));
         }
         if (message instanceof FeedMessage.CrashReport m && crashService != null) {
             return crashService.commitReport(m);
         }
-        if (message instanceof FeedMessage.TrialQuestion m && crashService != null) {
+        if (message instanceof FeedMessage.TrialRequest m && crashService != null) {
             return crashService.requestTrial(m.digest());
         }
         if (message instanceof FeedMessage.StalledHead m && groupController != null) {
             return groupController.handleStalledHead(m);
         }
-        if (message instanceof FeedMessage.SuspectFinding m && groupController != null) {
+        if (message instanceof FeedMessage.SuspectCheckResult m && groupController != null) {
             return groupController.handleSuspectFinding(m);
         }
         return Mono.empty();
     }
 
-    private Mono<FeedMessage.News> answerPoll(InstanceId from, FeedMessage.Poll poll) {
+    private Mono<FeedMessage.Changes> answerPoll(InstanceId from, FeedMessage.Poll poll) {
         if (poll.heardAfter() < 0) {
-            entryReports.take(from, poll.streams());
+            entryReports.recordPoll(from, poll.streams());
             if (crashService != null) {
                 crashService.ensureKey();
             }
         }
-        return feed.await(poll, configurationMachine.current().version(), ledger.version())
+        return feed.await(poll, configurationMachine.current().version(), crashLedger.version())
                 .map(news -> createNews(poll));
     }
 
-    private FeedMessage.News createNews(FeedMessage.Poll poll) {
+    private FeedMessage.Changes createNews(FeedMessage.Poll poll) {
         ConfigurationStateMachine.StoredConfiguration stored = configurationMachine.current();
         byte[] compressed = stored.version() > poll.configurationVersion() ? stored.compressed() : null;
         return feed.news(poll)
@@ -385,8 +386,8 @@
                         stored.version(),
                         compressed,
                         members(),
-                        entryReports.count(),
-                        entryReports.most(),
-                        ledger.news(poll.suspectsVersion()));
+                        entryReports.activeCount(),
+                        entryReports.peakCount(),
+                        crashLedger.changesSince(poll.suspectsVersion()));
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/control/ControlStateMachine.java
+++ b/serving/src/main/java/org/hallwall/serving/control/ControlStateMachine.java
@@ -20,7 +20,7 @@
 
 import java.nio.ByteBuffer;
 
-import org.hallwall.log.LogMachine;
+import org.hallwall.log.StateMachine;
 import org.hallwall.serving.crash.CrashCommand;
 import org.hallwall.serving.crash.CrashLedger;
 
@@ -30,7 +30,7 @@
  * <p>A command of the ledger, and a snapshot that contains the ledger, begins with {@link #LEDGER_MARKER} in eight bytes. All others contain
  * the configuration only; its versions are not negative, so logs written before the ledger was introduced can be read.
  */
-final class ControlStateMachine implements LogMachine {
+final class ControlStateMachine implements StateMachine {
 
     private static final long LEDGER_MARKER = -1;
 
--- a/serving/src/main/java/org/hallwall/serving/control/CrashService.java
+++ b/serving/src/main/java/org/hallwall/serving/control/CrashService.java
@@ -27,7 +27,7 @@
 import org.hallwall.serving.crash.RequestDigest;
 import org.hallwall.serving.crash.RequestDigester;
 import org.hallwall.serving.target.FeedMessage.CrashReport;
-import org.hallwall.serving.target.FeedMessage.CrashReportTaken;
+import org.hallwall.serving.target.FeedMessage.CrashReportResult;
 import org.hallwall.serving.target.FeedMessage.TrialAnswer;
 import org.jboss.logging.Logger;
 import reactor.core.publisher.Mono;
@@ -81,15 +81,15 @@
     }
 
     /** Commits a report; the answer says whether it is committed or must be sent to another instance. */
-    Mono<CrashReportTaken> commitReport(CrashReport report) {
+    Mono<CrashReportResult> commitReport(CrashReport report) {
         if (!voter.holdsLease()) {
-            return Mono.just(new CrashReportTaken(false, 0));
+            return Mono.just(new CrashReportResult(false, 0));
         }
-        return propose(CrashCommand.seen(wallClock.getAsLong(), report.ended(), report.survived()))
-                .map(done -> new CrashReportTaken(true, ledger.version()))
+        return propose(CrashCommand.report(wallClock.getAsLong(), report.ended(), report.survived()))
+                .map(done -> new CrashReportResult(true, ledger.version()))
                 .onErrorResume(e -> {
                     LOG.warnf("crashes: a report on crashed targets was not committed, %s", e.getMessage());
-                    return Mono.just(new CrashReportTaken(false, 0));
+                    return Mono.just(new CrashReportResult(false, 0));
                 });
     }
 
@@ -99,13 +99,13 @@
             return Mono.just(new TrialAnswer(false, false, 0));
         }
         long now = wallClock.getAsLong();
-        long pause = ledger.trialInMillis(digest, now);
-        if (pause > 0 && ledger.unseenMillis(digest, now) < SEEN_INTERVAL_MILLIS) {
+        long pause = ledger.millisUntilTrial(digest, now);
+        if (pause > 0 && ledger.millisSinceSeen(digest, now) < SEEN_INTERVAL_MILLIS) {
             return Mono.just(new TrialAnswer(true, false, pause));
         }
         return propose(CrashCommand.trial(now, digest))
                 .map(granted -> new TrialAnswer(
-                        true, Boolean.TRUE.equals(granted), ledger.trialInMillis(digest, wallClock.getAsLong())))
+                        true, Boolean.TRUE.equals(granted), ledger.millisUntilTrial(digest, wallClock.getAsLong())))
                 .onErrorReturn(new TrialAnswer(false, false, 0));
     }
 
--- a/serving/src/main/java/org/hallwall/serving/control/EntryReports.java
+++ b/serving/src/main/java/org/hallwall/serving/control/EntryReports.java
@@ -22,7 +22,7 @@
 import java.util.Map;
 
 import org.hallwall.core.id.InstanceId;
-import org.hallwall.core.time.RecentPeak;
+import org.hallwall.core.time.RecentMaximum;
 import org.hallwall.core.time.Ticker;
 
 /** Tracks the entries that poll this control instance, and their streams in progress. */
@@ -39,7 +39,7 @@
 
     private final Ticker ticker;
     private final long completeFrom;
-    private final RecentPeak peak;
+    private final RecentMaximum peak;
     private final Map<InstanceId, Report> reports = new HashMap<>();
 
     /**
@@ -51,7 +51,7 @@
     public EntryReports(boolean firstStart, Ticker ticker) {
         this.ticker = ticker;
         this.completeFrom = ticker.millis() + (firstStart ? 0 : EXPIRY_MILLIS);
-        this.peak = new RecentPeak(PEAK_WINDOW_MILLIS, ticker);
+        this.peak = new RecentMaximum(PEAK_WINDOW_MILLIS, ticker);
     }
 
     /**
@@ -60,9 +60,9 @@
      * @param entry the polling entry
      * @param streams its streams in progress by model
      */
-    public synchronized void take(InstanceId entry, Map<String, Integer> streams) {
+    public synchronized void recordPoll(InstanceId entry, Map<String, Integer> streams) {
         reports.put(entry, new Report(ticker.millis(), streams == null ? Map.of() : streams));
-        peak.note(count());
+        peak.record(activeCount());
     }
 
     /**
@@ -70,7 +70,7 @@
      *
      * @return the number of entries
      */
-    public synchronized int count() {
+    public synchronized int activeCount() {
         removeExpired();
         return reports.size();
     }
@@ -80,8 +80,8 @@
      *
      * @return the recent peak count; zero until every entry has had time to poll after the start
      */
-    public synchronized int most() {
-        return ticker.millis() < completeFrom ? 0 : peak.highest();
+    public synchronized int peakCount() {
+        return ticker.millis() < completeFrom ? 0 : peak.max();
     }
 
     /** Returns the streams in progress of all entries, by model. */
--- a/serving/src/main/java/org/hallwall/serving/control/PackedBytes.java
+++ b/serving/src/main/java/org/hallwall/serving/control/Gzip.java
@@ -25,9 +25,9 @@
 import java.util.zip.GZIPOutputStream;
 
 /** Compression of configurations, which are large and repetitive. */
-public final class PackedBytes {
+public final class Gzip {
 
-    private PackedBytes() {}
+    private Gzip() {}
 
     /**
      * Compresses bytes.
@@ -35,7 +35,7 @@
      * @param bytes the bytes
      * @return the compressed bytes
      */
-    public static byte[] pack(byte[] bytes) {
+    public static byte[] compress(byte[] bytes) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(bytes.length / 4 + 64);
         try (GZIPOutputStream zip = new GZIPOutputStream(out)) {
             zip.write(bytes);
@@ -52,7 +52,7 @@
      * @return the bytes
      * @throws IOException if they are corrupt
      */
-    public static byte[] unpack(byte[] compressed) throws IOException {
+    public static byte[] decompress(byte[] compressed) throws IOException {
         try (GZIPInputStream zip = new GZIPInputStream(new ByteArrayInputStream(compressed))) {
             return zip.readAllBytes();
         }
--- a/serving/src/main/java/org/hallwall/serving/crash/CrashLedger.java
+++ b/serving/src/main/java/org/hallwall/serving/crash/CrashLedger.java
@@ -84,7 +84,7 @@
         return c.trial() != null && applyTrial(c.trial(), c.at());
     }
 
-    private void applyCrash(EndedTarget e, long at) {
+    private void applyCrash(CrashedTarget e, long at) {
         List<ReplicatedSuspect> updated = new ArrayList<>();
         for (RequestDigest d : e.running()) {
             ReplicatedSuspect s = suspects.getOrDefault(d, ReplicatedSuspect.create(d, at));
@@ -207,7 +207,7 @@
      * @param after the version that the entry has
      * @return the changes, or null if there are none
      */
-    public synchronized SuspectNews news(long after) {
+    public synchronized SuspectUpdate changesSince(long after) {
         if (after >= version) {
             return null;
         }
@@ -223,7 +223,7 @@
                         .map(Removal::digest)
                         .distinct()
                         .toList();
-        return new SuspectNews(key, version, full, changed, removed);
+        return new SuspectUpdate(key, version, full, changed, removed);
     }
 
     /**
@@ -233,7 +233,7 @@
      * @param now the wall clock in milliseconds
      * @return the time in milliseconds, at most a day; zero if a trial is due
      */
-    public synchronized long trialInMillis(RequestDigest digest, long now) {
+    public synchronized long millisUntilTrial(RequestDigest digest, long now) {
         ReplicatedSuspect s = suspects.get(digest);
         return s == null ? 0 : Math.max(0, Math.min(s.nextTrialAt() - now, EXPIRY_MILLIS));
     }
@@ -245,7 +245,7 @@
      * @param now the wall clock in milliseconds
      * @return the time in milliseconds; zero if the request is not a suspect
      */
-    public synchronized long unseenMillis(RequestDigest digest, long now) {
+    public synchronized long millisSinceSeen(RequestDigest digest, long now) {
         ReplicatedSuspect s = suspects.get(digest);
         return s == null ? 0 : now - s.seenAt();
     }
--- a/serving/src/main/java/org/hallwall/serving/crash/CrashPeers.java
+++ b/serving/src/main/java/org/hallwall/serving/crash/CrashPeers.java
@@ -32,7 +32,7 @@
      * @param target the target's start
      * @return true if it answers; never an error
      */
-    Mono<Boolean> answers(InstanceId target);
+    Mono<Boolean> isResponding(InstanceId target);
 
     /**
      * Probes whether a target's address refuses connections. Unlike a timeout, a refusal is not caused by the network or by load.
@@ -40,7 +40,7 @@
      * @param target the target's start
      * @return true only if the address refuses a connection and the target has not announced its shutdown; never an error
      */
-    Mono<Boolean> refuses(InstanceId target);
+    Mono<Boolean> refusesConnections(InstanceId target);
 
     /**
      * Returns whether a target has restarted without announcing its shutdown.
@@ -48,7 +48,7 @@
      * @param target the target's start
      * @return true if a later start of the target is known
      */
-    boolean hasStartedAgain(InstanceId target);
+    boolean hasRestarted(InstanceId target);
 
     /**
      * Reports crashes and answered suspects to the log.
@@ -57,7 +57,7 @@
      * @param survived suspects that a target has answered
      * @return the version of the suspects that includes the report; empty if it was not committed, never an error
      */
-    Mono<Long> report(List<EndedTarget> ended, List<RequestDigest> survived);
+    Mono<Long> report(List<CrashedTarget> ended, List<RequestDigest> survived);
 
     /**
      * Requests a trial of a held request.
@@ -65,13 +65,13 @@
      * @param digest the request
      * @return the decision; empty if no control instance answers, never an error
      */
-    Mono<Trial> mayTry(RequestDigest digest);
+    Mono<TrialDecision> requestTrial(RequestDigest digest);
 
     /**
      * The decision on a trial.
      *
      * @param granted whether the request may be sent once
-     * @param againMillis the time until the next trial may be requested, in milliseconds
+     * @param retryMillis the time until the next trial may be requested, in milliseconds
      */
-    record Trial(boolean granted, long againMillis) {}
+    record TrialDecision(boolean granted, long retryMillis) {}
 }
--- a/serving/src/main/java/org/hallwall/serving/crash/CrashWatch.java
+++ b/serving/src/main/java/org/hallwall/serving/crash/CrashWatch.java
@@ -61,7 +61,7 @@
     private final SuspectView suspectView = new SuspectView();
     private final UnresolvedFailures failures = new UnresolvedFailures();
     private final RecentResponses recentResponses = new RecentResponses();
-    private final List<EndedTarget> unreportedCrashes = new ArrayList<>();
+    private final List<CrashedTarget> unreportedCrashes = new ArrayList<>();
     private final Set<RequestDigest> unreportedSurvivors = new LinkedHashSet<>();
     private final Set<InstanceId> probing = new HashSet<>();
     private final Map<RequestDigest, Long> nextTrialRequestAt = new HashMap<>();
@@ -69,8 +69,8 @@
     private boolean reporting;
     private volatile RequestDigester digester;
     private volatile long version;
-    private volatile int suspects;
-    private volatile long held;
+    private volatile int suspectCount;
+    private volatile long heldCount;
 
     /**
      * Creates a watch without suspects. No request is digested before the key is known.
@@ -88,23 +88,23 @@
     /**
      * Applies changes of the replicated suspects.
      *
-     * @param news the changes
+     * @param update the changes
      */
-    public void take(SuspectNews news) {
-        if (digester == null && news.key() != null) {
-            digester = new RequestDigester(news.key());
+    public void applyUpdate(SuspectUpdate update) {
+        if (digester == null && update.key() != null) {
+            digester = new RequestDigester(update.key());
         }
-        suspectView.applyUpdate(news, ticker.millis());
+        suspectView.applyUpdate(update, ticker.millis());
         version = suspectView.version();
-        suspects = suspectView.size();
-        held = suspectView.heldCount();
+        suspectCount = suspectView.size();
+        heldCount = suspectView.heldCount();
         long now = ticker.millis();
         nextTrialRequestAt.keySet().removeIf(d -> !suspectView.isHeld(d, Set.of()));
         // a suspect reported by another entry may have been answered here recently
-        news.changed().stream()
+        update.changed().stream()
                 .map(Suspect::digest)
                 .filter(d -> recentResponses.contains(d, now))
-                .forEach(this::survived);
+                .forEach(this::recordAnswer);
     }
 
     /**
@@ -171,11 +171,11 @@
         }
         // suppresses concurrent trial requests for the same digest
         nextTrialRequestAt.put(digest, ticker.millis() + MIN_RETRY_MILLIS);
-        return peers.mayTry(digest)
-                .defaultIfEmpty(new CrashPeers.Trial(false, MIN_RETRY_MILLIS))
+        return peers.requestTrial(digest)
+                .defaultIfEmpty(new CrashPeers.TrialDecision(false, MIN_RETRY_MILLIS))
                 .publishOn(Schedulers.fromExecutor(io))
                 .flatMap(t -> {
-                    long retryMillis = Math.max(MIN_RETRY_MILLIS, t.againMillis());
+                    long retryMillis = Math.max(MIN_RETRY_MILLIS, t.retryMillis());
                     nextTrialRequestAt.put(digest, ticker.millis() + retryMillis);
                     return t.granted() ? Mono.empty() : Mono.just(retryMillis);
                 });
@@ -187,7 +187,7 @@
      * @param digest the request
      * @return the crashed targets and the age of the last update
      */
-    public String describe(RequestDigest digest) {
+    public String describeHold(RequestDigest digest) {
         long at = suspectView.updatedAt(digest);
         String age = at == 0 ? "seen by this entry only" : "last updated here " + (ticker.millis() - at) + " ms ago";
         return "held back as " + digest + ": " + new TreeSet<>(suspectView.crashedTargets(digest, Set.of()))
@@ -200,17 +200,17 @@
      * @param target the target's start
      * @param digest the request, or null if the key is not known
      */
-    public void cut(InstanceId target, RequestDigest digest) {
+    public void recordDisconnect(InstanceId target, RequestDigest digest) {
         if (digest == null) {
             return;
         }
         failures.add(target, digest, ticker.millis());
         if (probing.add(target)) {
-            peers.answers(target)
+            peers.isResponding(target)
                     .subscribe(responding -> io.execute(() -> {
                         probing.remove(target);
                         if (!responding) {
-                            gone(target);
+                            recordCrash(target);
                         }
                     }));
         }
@@ -222,7 +222,7 @@
      * @param target the target's start
      * @param digest the request, or null if the key is not known
      */
-    public void left(InstanceId target, RequestDigest digest) {
+    public void recordAbandoned(InstanceId target, RequestDigest digest) {
         if (digest != null) {
             failures.add(target, digest, ticker.millis());
         }
@@ -233,7 +233,7 @@
      *
      * @param target the target's start
      */
-    public void gone(InstanceId target) {
+    public void recordCrash(InstanceId target) {
         long now = ticker.millis();
         List<RequestDigest> running = failures.removeTarget(target, now).stream()
                 .filter(d -> !recentResponses.contains(d, now))
@@ -248,7 +248,7 @@
                 running.stream().limit(MAX_LOGGED_DIGESTS).toList());
         suspectView.addCrash(target, running);
         if (unreportedCrashes.stream().mapToInt(e -> e.running().size()).sum() < SuspectView.MAX_UNLOGGED) {
-            unreportedCrashes.add(new EndedTarget(target, running));
+            unreportedCrashes.add(new CrashedTarget(target, running));
         }
         // other targets of the same requests are probed at once, before a retry reaches the next target
         failures.targetsWithAny(Set.copyOf(running)).forEach(t -> probe(t, now));
@@ -260,7 +260,7 @@
      *
      * @param digest the request, or null if it was not digested
      */
-    public void survived(RequestDigest digest) {
+    public void recordAnswer(RequestDigest digest) {
         if (digest == null) {
             return;
         }
@@ -279,8 +279,8 @@
         Set<InstanceId> unresolved = failures.targets();
         nextProbeAt.keySet().retainAll(unresolved);
         for (InstanceId target : unresolved) {
-            if (peers.hasStartedAgain(target)) {
-                gone(target);
+            if (peers.hasRestarted(target)) {
+                recordCrash(target);
             } else if (now >= nextProbeAt.computeIfAbsent(target, t -> now + PROBE_INTERVAL_MILLIS)) {
                 probe(target, now);
             }
@@ -293,11 +293,11 @@
             return;
         }
         nextProbeAt.put(target, now + PROBE_INTERVAL_MILLIS);
-        peers.refuses(target)
+        peers.refusesConnections(target)
                 .subscribe(refused -> io.execute(() -> {
                     probing.remove(target);
                     if (refused) {
-                        gone(target);
+                        recordCrash(target);
                     }
                 }));
     }
@@ -307,14 +307,14 @@
             return;
         }
         reporting = true;
-        List<EndedTarget> ended = List.copyOf(unreportedCrashes);
+        List<CrashedTarget> ended = List.copyOf(unreportedCrashes);
         List<RequestDigest> survivors = List.copyOf(unreportedSurvivors);
         peers.report(ended, survivors)
                 .defaultIfEmpty(0L)
                 .subscribe(at -> io.execute(() -> reportCompleted(ended, survivors, at)));
     }
 
-    private void reportCompleted(List<EndedTarget> ended, List<RequestDigest> survivors, long at) {
+    private void reportCompleted(List<CrashedTarget> ended, List<RequestDigest> survivors, long at) {
         reporting = false;
         if (at == 0) {
             return;
@@ -330,8 +330,8 @@
      *
      * @return the number of suspects
      */
-    public int suspects() {
-        return suspects;
+    public int suspectCount() {
+        return suspectCount;
     }
 
     /**
@@ -339,7 +339,7 @@
      *
      * @return the number of held requests
      */
-    public long held() {
-        return held;
+    public long heldCount() {
+        return heldCount;
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/crash/EndedTarget.java
+++ b/serving/src/main/java/org/hallwall/serving/crash/CrashedTarget.java
@@ -28,4 +28,4 @@
  * @param target the target's start
  * @param running the requests in progress on the target when it crashed or shortly before
  */
-public record EndedTarget(InstanceId target, List<RequestDigest> running) {}
+public record CrashedTarget(InstanceId target, List<RequestDigest> running) {}
--- a/serving/src/main/java/org/hallwall/serving/crash/RequestDigester.java
+++ b/serving/src/main/java/org/hallwall/serving/crash/RequestDigester.java
@@ -62,7 +62,7 @@
      * @param body the body
      * @return the digest
      */
-    public RequestDigest of(String workspace, String host, String method, String uri, byte[] body) {
+    public RequestDigest digest(String workspace, String host, String method, String uri, byte[] body) {
         Blake3 hash = Blake3.initKeyedHash(key);
         add(hash, workspace);
         add(hash, host);
--- a/serving/src/main/java/org/hallwall/serving/crash/SuspectNews.java
+++ b/serving/src/main/java/org/hallwall/serving/crash/SuspectUpdate.java
@@ -29,5 +29,5 @@
  * @param changed new and changed suspects
  * @param removed requests that are no longer suspects
  */
-public record SuspectNews(
+public record SuspectUpdate(
         byte[] key, long version, boolean whole, List<Suspect> changed, List<RequestDigest> removed) {}
--- a/serving/src/main/java/org/hallwall/serving/crash/SuspectView.java
+++ b/serving/src/main/java/org/hallwall/serving/crash/SuspectView.java
@@ -42,20 +42,20 @@
     private long version;
 
     /** Applies changes unless they have been applied already. */
-    void applyUpdate(SuspectNews news, long now) {
-        if (news.version() <= version) {
+    void applyUpdate(SuspectUpdate update, long now) {
+        if (update.version() <= version) {
             return;
         }
-        if (news.whole()) {
+        if (update.whole()) {
             logged.clear();
             updatedAt.clear();
         }
-        news.removed().forEach(this::removeLogged);
-        news.changed().forEach(s -> {
+        update.removed().forEach(this::removeLogged);
+        update.changed().forEach(s -> {
             logged.put(s.digest(), s);
             updatedAt.put(s.digest(), now);
         });
-        version = news.version();
+        version = update.version();
     }
 
     private Suspect removeLogged(RequestDigest digest) {
@@ -86,7 +86,7 @@
     }
 
     /** Drops the local copy of a crash that the log has committed. */
-    void markLogged(EndedTarget e) {
+    void markLogged(CrashedTarget e) {
         for (RequestDigest d : e.running()) {
             Set<InstanceId> targets = unlogged.get(d);
             if (targets != null) {
--- a/serving/src/main/java/org/hallwall/serving/decision/Mechanisms.java
+++ b/serving/src/main/java/org/hallwall/serving/decision/Mechanisms.java
@@ -55,7 +55,7 @@
      * @param mechanism the mechanism
      * @return true if it is enabled
      */
-    public boolean has(Mechanism mechanism) {
+    public boolean isEnabled(Mechanism mechanism) {
         return !disabled.contains(mechanism);
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/group/Engine.java
+++ b/serving/src/main/java/org/hallwall/serving/group/Engine.java
@@ -19,7 +19,7 @@
 package org.hallwall.serving.group;
 
 import org.hallwall.core.id.InstanceId;
-import org.hallwall.serving.target.GroupMark;
+import org.hallwall.serving.target.GroupMembership;
 import org.hallwall.serving.target.TargetRecord;
 
 /**
@@ -58,7 +58,7 @@
      * @return true if name and epoch match its announcement
      */
     public boolean isMemberOf(String name, long epoch) {
-        GroupMark m = record.group();
+        GroupMembership m = record.group();
         return m != null && m.epoch() == epoch && m.name().equals(name);
     }
 
--- a/serving/src/main/java/org/hallwall/serving/group/GroupController.java
+++ b/serving/src/main/java/org/hallwall/serving/group/GroupController.java
@@ -30,18 +30,18 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-import org.hallwall.core.duty.DutyThread;
+import org.hallwall.core.duty.EventLoopThread;
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.time.Ticker;
 import org.hallwall.log.LogVoter;
 import org.hallwall.serving.config.EngineSpec;
 import org.hallwall.serving.config.TargetService;
 import org.hallwall.serving.decision.Mechanisms;
-import org.hallwall.serving.target.FeedMessage.HeadFinding;
+import org.hallwall.serving.target.FeedMessage.HeadCheckResult;
 import org.hallwall.serving.target.FeedMessage.StalledHead;
-import org.hallwall.serving.target.FeedMessage.SuspectFinding;
+import org.hallwall.serving.target.FeedMessage.SuspectCheckResult;
 import org.hallwall.serving.target.GroupLiveness;
-import org.hallwall.serving.target.TargetDirectory.KnownTarget;
+import org.hallwall.serving.target.TargetDirectory.AnnouncedTarget;
 import org.hallwall.serving.target.TargetRecord;
 import org.jboss.logging.Logger;
 import reactor.core.publisher.Mono;
@@ -87,14 +87,14 @@
     private final ControllerTiming timing;
     private final Mechanisms mechanisms;
     private final Ticker ticker;
-    private final DutyThread eventLoop;
+    private final EventLoopThread eventLoop;
     private final Map<String, GroupPlan> plans = new HashMap<>();
     private final Map<String, StagingPlan> stagings = new HashMap<>();
     private final OrderTracker orderTracker = new OrderTracker();
     private final Map<InstanceId, Long> unresponsiveAt = new HashMap<>();
     private final SuspectTracker suspects = new SuspectTracker();
     private final GroupProbes probes;
-    private final LoadPacer pacer = new LoadPacer();
+    private final LoadThrottle throttle = new LoadThrottle();
     private final long startedAt;
     private long term = -1;
     private long leaderSince;
@@ -129,7 +129,7 @@
         this.ticker = ticker;
         this.probes = new GroupProbes(gateway, inputs.directory(), this::markUnresponsive, ticker);
         this.startedAt = ticker.millis();
-        this.eventLoop = new DutyThread("groups", QUEUE_CAPACITY, TICK_MILLIS, this::confirmLeadership);
+        this.eventLoop = new EventLoopThread("groups", QUEUE_CAPACITY, TICK_MILLIS, this::confirmLeadership);
     }
 
     /** Starts the controller's thread. */
@@ -148,34 +148,33 @@
      * @param report the report of the stalled head
      * @return the finding; never an error
      */
-    public Mono<HeadFinding> handleStalledHead(StalledHead report) {
+    public Mono<HeadCheckResult> handleStalledHead(StalledHead report) {
         return runOnEventLoop(report.group(), () -> probe(report));
     }
 
     /**
      * Applies an entry's finding on members that did not answer the controller.
      *
-     * @param finding the entry's finding
+     * @param result the entry's finding
      * @return whether the group has lost a member; never an error
      */
-    public Mono<HeadFinding> handleSuspectFinding(SuspectFinding finding) {
-        return runOnEventLoop(finding.group(), () -> {
+    public Mono<HeadCheckResult> handleSuspectFinding(SuspectCheckResult result) {
+        return runOnEventLoop(result.group(), () -> {
             long now = ticker.millis();
-            finding.reached().forEach(id -> suspects.markReachable(id, now));
-            for (InstanceId id : finding.silent()) {
+            result.reached().forEach(id -> suspects.markReachable(id, now));
+            for (InstanceId id : result.silent()) {
                 LOG.warnf(
-                        "groups: an entry cannot reach %s of group %s either, considering it dead",
-                        id, finding.group());
+                        "groups: an entry cannot reach %s of group %s either, considering it dead", id, result.group());
                 suspects.markLost(id);
                 unresponsiveAt.put(id, now);
             }
             confirmLeadership();
-            boolean working = finding.silent().isEmpty();
-            return Mono.just(finding(finding.group(), working ? GroupLiveness.WORKING : GroupLiveness.LOST));
+            boolean working = result.silent().isEmpty();
+            return Mono.just(finding(result.group(), working ? GroupLiveness.WORKING : GroupLiveness.LOST));
         });
     }
 
-    private Mono<HeadFinding> runOnEventLoop(String group, Supplier<Mono<HeadFinding>> work) {
+    private Mono<HeadCheckResult> runOnEventLoop(String group, Supplier<Mono<HeadCheckResult>> work) {
         return Mono.create(sink -> {
             if (!eventLoop.offer(() -> work.get().subscribe(sink::success))) {
                 LOG.warnf("groups: queue is full, the liveness of %s is unknown", group);
@@ -184,8 +183,8 @@
         });
     }
 
-    private static HeadFinding finding(String group, GroupLiveness liveness) {
-        return new HeadFinding(group, liveness, List.of());
+    private static HeadCheckResult finding(String group, GroupLiveness liveness) {
+        return new HeadCheckResult(group, liveness, List.of());
     }
 
     @Override
@@ -202,7 +201,7 @@
             return;
         }
         confirmingLeadership = true;
-        voter.readIndex()
+        voter.leaseReadIndex()
                 .whenComplete((index, e) -> eventLoop.offer(() -> {
                     confirmingLeadership = false;
                     if (e == null) {
@@ -222,23 +221,23 @@
             stagings.clear();
             orderTracker.clear();
             if (!timing.firstStart() || now - startedAt > BOOST_START_MILLIS + BOOST_DURATION_MILLIS) {
-                pacer.recordTakeover(now);
+                throttle.recordTakeover(now);
             }
         }
         boolean settled = timing.firstStart() || now - leaderSince >= SETTLING_MILLIS;
         if (!settled || now - startedAt < timing.discoveryMillis()) {
             return;
         }
-        List<KnownTarget> all = new ArrayList<>(inputs.directory().list());
+        List<AnnouncedTarget> all = new ArrayList<>(inputs.directory().list());
         markLost(now, all);
         for (TargetService s : inputs.configuration().get().engineServices().values()) {
             updateService(now, s, all);
         }
     }
 
-    private void updateService(long now, TargetService service, List<KnownTarget> all) {
+    private void updateService(long now, TargetService service, List<AnnouncedTarget> all) {
         Map<InstanceId, Engine> engines = new HashMap<>();
-        for (KnownTarget t : all) {
+        for (AnnouncedTarget t : all) {
             if (t.record().service().equals(service.name())) {
                 engines.put(t.record().instance(), toEngine(now, t));
             }
@@ -249,7 +248,7 @@
         for (GroupAction a : plan.step(now, spec, inputs.streams().get(), engines)) {
             sendIfDue(now, a);
         }
-        for (StageOrder o : staging.step(now, spec, plan.packing(), plan.free(engines), engines)) {
+        for (StageOrder o : staging.step(now, spec, plan.packing(), plan.freeEngines(engines), engines)) {
             startLoad(now, spec, staging, o);
         }
         logStatus(now, service.name(), plan, engines);
@@ -264,7 +263,7 @@
         }
         lastStatusAt = now;
         Map<String, Integer> idle = new TreeMap<>();
-        plan.free(engines).forEach((domain, free) -> idle.put(domain, free.size()));
+        plan.freeEngines(engines).forEach((domain, free) -> idle.put(domain, free.size()));
         long lost = engines.values().stream().filter(Engine::lost).count();
         LOG.infof(
                 "groups: %s: %s serve, idle by fabric domain %s, %d of %d engines lost, %d loads run",
@@ -273,12 +272,12 @@
                 idle,
                 lost,
                 engines.size(),
-                pacer.runningLoads().size());
+                throttle.runningLoads().size());
     }
 
-    private void markLost(long now, List<KnownTarget> all) {
+    private void markLost(long now, List<AnnouncedTarget> all) {
         Set<InstanceId> lost = new HashSet<>();
-        for (KnownTarget t : all) {
+        for (AnnouncedTarget t : all) {
             if (isLost(now, t)) {
                 lost.add(t.record().instance());
             }
@@ -286,14 +285,14 @@
         lostListener.accept(lost);
     }
 
-    private boolean isLost(long now, KnownTarget t) {
+    private boolean isLost(long now, AnnouncedTarget t) {
         Long failedAt = unresponsiveAt.get(t.record().instance());
         boolean replaced = t.record().presence() == TargetRecord.Presence.REPLACED;
         boolean failed = failedAt != null && failedAt > t.heardAt();
         return replaced || failed || now - t.heardAt() > DEAD_AFTER_MILLIS;
     }
 
-    private Engine toEngine(long now, KnownTarget t) {
+    private Engine toEngine(long now, AnnouncedTarget t) {
         long silence = now - t.heardAt();
         boolean lost = isLost(now, t);
         boolean silent = silence > timing.heartbeatMillis() * MISSED_HEARTBEATS;
@@ -303,10 +302,10 @@
 
     /** Releases loads whose target announces the model or is no longer usable. */
     private void releaseLoads(Map<InstanceId, Engine> engines) {
-        pacer.runningLoads().forEach((id, model) -> {
+        throttle.runningLoads().forEach((id, model) -> {
             Engine e = engines.get(id);
             if (e != null && (!e.isUsable() || e.hasStaged(model))) {
-                pacer.ended(id);
+                throttle.release(id);
             }
         });
     }
@@ -315,16 +314,16 @@
     private void startLoad(long now, EngineSpec spec, StagingPlan staging, StageOrder order) {
         GroupAction a = order.toAction();
         int factor = loadLimitFactor(now);
-        int maxConcurrent = spec.loadsAtOnce() * factor;
-        double rate = spec.loadsPerSecond() * factor;
+        int maxConcurrent = spec.maxConcurrentLoads() * factor;
+        double rate = spec.maxLoadsPerSecond() * factor;
         InstanceId id = order.target().id();
         boolean spare = order.isSpare() && factor == 1;
         boolean starts = orderTracker.isDue(a, now)
                 && (spare
-                        ? pacer.tryBeginSpare(id, order.model(), rate, maxConcurrent, now)
-                        : pacer.tryBegin(id, order.model(), rate, maxConcurrent, now));
+                        ? throttle.tryStartSpare(id, order.model(), rate, maxConcurrent, now)
+                        : throttle.tryStart(id, order.model(), rate, maxConcurrent, now));
         if (starts) {
-            staging.begun(id);
+            staging.markStarted(id);
             send(now, a);
         }
     }
@@ -351,7 +350,7 @@
         InstanceId id = a.target().id();
         OrderTracker.TrackedOrder order = orderTracker.recordSent(a, now + UNANSWERED_RETRY_MILLIS);
         long token = term;
-        gateway.order(a.target().record(), a.order(), token, ORDER_TIMEOUT).subscribe(outcome -> {
+        gateway.sendOrder(a.target().record(), a.order(), token, ORDER_TIMEOUT).subscribe(outcome -> {
             LOG.infof("groups: order %s to %s in term %d: %s (%s)", a.order(), id, token, outcome, a.reason());
             eventLoop.offer(() -> handleOutcome(id, order, outcome));
         });
@@ -367,14 +366,14 @@
         }
         if (load) {
             // the load may not be running, so it frees its slot; its start still counts towards the store's rate
-            pacer.ended(id);
+            throttle.release(id);
         }
         if (outcome == OrderOutcome.UNKNOWN) {
             probes.probe(id.value(), List.of(id)).subscribe();
         }
     }
 
-    private Mono<HeadFinding> probe(StalledHead report) {
+    private Mono<HeadCheckResult> probe(StalledHead report) {
         if (!voter.holdsLease()) {
             return Mono.just(finding(report.group(), GroupLiveness.UNKNOWN));
         }
@@ -387,7 +386,7 @@
         return Mono.just(finding(report.group(), GroupLiveness.UNKNOWN));
     }
 
-    private Mono<HeadFinding> probe(String group, List<InstanceId> members) {
+    private Mono<HeadCheckResult> probe(String group, List<InstanceId> members) {
         long now = ticker.millis();
         List<InstanceId> probed = new ArrayList<>(members);
         probed.removeIf(id -> suspects.isReachedByEntries(id, now));
@@ -396,10 +395,10 @@
     }
 
     /** Returns members that did not answer recently as suspects, which the entry probes. */
-    private HeadFinding toFinding(String group, List<InstanceId> members, GroupLiveness liveness) {
+    private HeadCheckResult toFinding(String group, List<InstanceId> members, GroupLiveness liveness) {
         List<InstanceId> suspected = suspects.suspectsAmong(members, ticker.millis());
         boolean hasSuspects = liveness != GroupLiveness.UNKNOWN && !suspected.isEmpty();
-        return hasSuspects ? new HeadFinding(group, GroupLiveness.SUSPECTED, suspected) : finding(group, liveness);
+        return hasSuspects ? new HeadCheckResult(group, GroupLiveness.SUSPECTED, suspected) : finding(group, liveness);
     }
 
     private void markUnresponsive(InstanceId id) {
--- a/serving/src/main/java/org/hallwall/serving/group/GroupFormation.java
+++ b/serving/src/main/java/org/hallwall/serving/group/GroupFormation.java
@@ -86,7 +86,7 @@
         if (!domains.equals(packedDomains) || now - packedAt >= REPACK_INTERVAL_MILLIS) {
             int count = domains.stream().mapToInt(DomainCapacity::engines).sum();
             ModelDemand demand = new ModelDemand(spec, averageStreams.byModel(), count);
-            packing = PackingSearch.findPacking(demand, domains, mechanisms.has(Mechanism.SPARES));
+            packing = PackingSearch.findPacking(demand, domains, mechanisms.isEnabled(Mechanism.SPARES));
             packedDomains = domains;
             packedAt = now;
         }
@@ -99,7 +99,7 @@
         Map<String, List<Engine>> freeByDomain = free.get();
         idleTimes.update(now, freeByDomain);
         freeByDomain.forEach((domain, engines) -> formInDomain(now, spec, domain, engines));
-        if (mechanisms.has(Mechanism.FAR_GROUPS)) {
+        if (mechanisms.isEnabled(Mechanism.FAR_GROUPS)) {
             formCrossDomain(now, spec, free.get());
         }
     }
@@ -187,7 +187,7 @@
         for (EngineModel m : spec.models()) {
             retireCrossDomain(m, free, engines);
         }
-        if (!mechanisms.has(Mechanism.TAKE_APART)) {
+        if (!mechanisms.isEnabled(Mechanism.TAKE_APART)) {
             return;
         }
         for (String domain : packing.domains().keySet()) {
--- a/serving/src/main/java/org/hallwall/serving/group/GroupPlan.java
+++ b/serving/src/main/java/org/hallwall/serving/group/GroupPlan.java
@@ -33,7 +33,7 @@
 import org.hallwall.serving.config.EngineModel;
 import org.hallwall.serving.config.EngineSpec;
 import org.hallwall.serving.decision.Mechanisms;
-import org.hallwall.serving.target.GroupMark;
+import org.hallwall.serving.target.GroupMembership;
 import org.hallwall.serving.target.GroupState;
 
 /**
@@ -95,10 +95,10 @@
         }
         leaveLostHeads(engines);
         formation.updatePacking(now, spec, streams, engines);
-        formation.retireGroups(spec, free(engines), engines);
-        formation.formGroups(now, spec, () -> free(engines));
+        formation.retireGroups(spec, freeEngines(engines), engines);
+        formation.formGroups(now, spec, () -> freeEngines(engines));
         joinNewGroups(now, engines);
-        free(engines).values().forEach(spares -> actions.addAll(warmUp.step(spec, spares, engines.values())));
+        freeEngines(engines).values().forEach(spares -> actions.addAll(warmUp.step(spec, spares, engines.values())));
         return actions;
     }
 
@@ -162,7 +162,7 @@
      * @param engines all engines of the service
      * @return the free engines by fabric domain
      */
-    public Map<String, List<Engine>> free(Map<InstanceId, Engine> engines) {
+    public Map<String, List<Engine>> freeEngines(Map<InstanceId, Engine> engines) {
         Set<InstanceId> assigned = new HashSet<>();
         groups.values().forEach(g -> assigned.addAll(g.members()));
         Map<String, List<Engine>> out = new TreeMap<>();
@@ -180,7 +180,7 @@
 
     private void adoptGroups(long now, EngineSpec spec, Map<InstanceId, Engine> engines) {
         for (Engine e : engines.values()) {
-            GroupMark m = e.record().group();
+            GroupMembership m = e.record().group();
             boolean isHead = m != null && m.rank() == 0 && !e.lost();
             if (!isHead || groups.containsKey(m.name()) || finishedGroups.contains(m.name())) {
                 continue;
@@ -203,10 +203,10 @@
         }
     }
 
-    private static List<InstanceId> membersOf(GroupMark mark, Collection<Engine> engines) {
+    private static List<InstanceId> membersOf(GroupMembership membership, Collection<Engine> engines) {
         Map<Integer, InstanceId> byRank = new TreeMap<>();
         for (Engine e : engines) {
-            if (mark.sameGroup(e.record().group())) {
+            if (membership.isSameGroup(e.record().group())) {
                 byRank.put(e.record().group().rank(), e.id());
             }
         }
@@ -223,8 +223,9 @@
             closingSince.remove(g.name());
             return;
         }
-        GroupMark mark = head.isMemberOf(g.name(), g.epoch()) ? head.record().group() : null;
-        GroupState state = mark == null ? null : mark.state();
+        GroupMembership membership =
+                head.isMemberOf(g.name(), g.epoch()) ? head.record().group() : null;
+        GroupState state = membership == null ? null : membership.state();
         if (state == GroupState.OPEN) {
             g.markServed();
         }
@@ -232,7 +233,7 @@
             removeGroup(g);
             return;
         }
-        boolean holdsMembers = state != null && state.holdsMembers();
+        boolean holdsMembers = state != null && state.reservesMembers();
         if (hasLostMember(g, engines)) {
             dissolve(g, head, holdsMembers, "a member is lost");
         } else if (hasLeavingMember(g, engines)) {
@@ -273,7 +274,7 @@
         boolean allJoined = true;
         for (InstanceId id : g.members()) {
             Engine e = engines.get(id);
-            GroupMark m = e.isMemberOf(g.name(), g.epoch()) ? e.record().group() : null;
+            GroupMembership m = e.isMemberOf(g.name(), g.epoch()) ? e.record().group() : null;
             if (m == null) {
                 TargetOrder join = new TargetOrder.Join(g.name(), g.epoch(), g.model(), g.members());
                 actions.add(new GroupAction(e, join, "forms a group"));
@@ -290,7 +291,7 @@
 
     private static long joinTimeoutMillis(EngineSpec spec, PlannedGroup g) {
         EngineModel m = spec.model(g.model());
-        double warmSeconds = m == null ? 0 : m.warmSeconds();
+        double warmSeconds = m == null ? 0 : m.hostLoadSeconds();
         return JOIN_MARGIN_MILLIS + (long) (warmSeconds * 2_000);
     }
 
@@ -326,14 +327,15 @@
     }
 
     /** Returns whether a head may use its members, by its announcement and the orders sent since. */
-    private boolean mayUseMembers(GroupMark head) {
-        return head.state().holdsMembers() || head.state() == GroupState.READY && orderedToOpen.contains(head.name());
+    private boolean mayUseMembers(GroupMembership head) {
+        return head.state().reservesMembers()
+                || head.state() == GroupState.READY && orderedToOpen.contains(head.name());
     }
 
     // --- free engines
 
     private boolean isReleased(Engine e, Map<InstanceId, Engine> engines) {
-        GroupMark m = e.record().group();
+        GroupMembership m = e.record().group();
         if (m == null) {
             return true;
         }
@@ -352,7 +354,7 @@
         Set<InstanceId> assigned = new HashSet<>();
         groups.values().forEach(g -> assigned.addAll(g.members()));
         for (Engine e : engines.values()) {
-            GroupMark m = e.record().group();
+            GroupMembership m = e.record().group();
             if (m == null || m.rank() == 0 || !e.isUsable() || assigned.contains(e.id())) {
                 continue;
             }
@@ -364,10 +366,10 @@
         }
     }
 
-    private static Engine headOf(GroupMark mark, Collection<Engine> engines) {
+    private static Engine headOf(GroupMembership membership, Collection<Engine> engines) {
         for (Engine e : engines) {
-            GroupMark m = e.record().group();
-            if (mark.sameGroup(m) && m.rank() == 0) {
+            GroupMembership m = e.record().group();
+            if (membership.isSameGroup(m) && m.rank() == 0) {
                 return e;
             }
         }
--- a/serving/src/main/java/org/hallwall/serving/group/GroupProbes.java
+++ b/serving/src/main/java/org/hallwall/serving/group/GroupProbes.java
@@ -31,7 +31,7 @@
 import org.hallwall.core.time.Ticker;
 import org.hallwall.serving.target.GroupLiveness;
 import org.hallwall.serving.target.TargetDirectory;
-import org.hallwall.serving.target.TargetDirectory.KnownTarget;
+import org.hallwall.serving.target.TargetDirectory.AnnouncedTarget;
 import org.hallwall.serving.target.TargetRecord;
 import org.jboss.logging.Logger;
 import reactor.core.publisher.Flux;
@@ -139,7 +139,7 @@
         if (record == null) {
             return Mono.just(new ProbeResult(id, false, 0));
         }
-        return gateway.answers(record, TIMEOUT)
+        return gateway.probe(record, TIMEOUT)
                 .map(ok -> new ProbeResult(id, ok, ticker.millis() - startedAt))
                 // a target in backoff has answered recently, but does not show how fast this controller is
                 .defaultIfEmpty(new ProbeResult(id, true, Long.MAX_VALUE));
@@ -171,7 +171,7 @@
     /** Selects random serving engines outside the group. */
     private List<InstanceId> witnesses(List<InstanceId> members) {
         List<InstanceId> others = new ArrayList<>();
-        for (KnownTarget t : directory.list()) {
+        for (AnnouncedTarget t : directory.list()) {
             TargetRecord r = t.record();
             if (r.fabricDomain() != null && r.isServing() && !members.contains(r.instance())) {
                 others.add(r.instance());
