--- a/serving/src/main/java/org/hallwall/serving/group/LoadPacer.java
+++ b/serving/src/main/java/org/hallwall/serving/group/LoadThrottle.java
@@ -26,7 +26,7 @@
 import org.hallwall.core.id.InstanceId;
 
 /** Limits the start rate and the concurrency of loads from the weight store. */
-public final class LoadPacer {
+public final class LoadThrottle {
 
     /** The sliding window of the rate limit, in milliseconds; the shortest one over which the store's rate must be met. */
     private static final long WINDOW_MILLIS = 5_000;
@@ -67,7 +67,7 @@
      * @param now the current time in milliseconds
      * @return true if the load may start
      */
-    public boolean tryBegin(InstanceId target, String model, double loadsPerSecond, int maxConcurrent, long now) {
+    public boolean tryStart(InstanceId target, String model, double loadsPerSecond, int maxConcurrent, long now) {
         while (!startTimes.isEmpty() && now - startTimes.peekFirst() > WINDOW_MILLIS) {
             startTimes.removeFirst();
         }
@@ -93,9 +93,9 @@
      * @param now the current time in milliseconds
      * @return true if the load may start
      */
-    public boolean tryBeginSpare(InstanceId target, String model, double loadsPerSecond, int maxConcurrent, long now) {
+    public boolean tryStartSpare(InstanceId target, String model, double loadsPerSecond, int maxConcurrent, long now) {
         boolean hasCapacity = running.size() < maxConcurrent && spareLoadCount() < MAX_SPARE_LOADS;
-        if (!hasCapacity || !tryBegin(target, model, loadsPerSecond / 2, maxConcurrent, now)) {
+        if (!hasCapacity || !tryStart(target, model, loadsPerSecond / 2, maxConcurrent, now)) {
             return false;
         }
         running.put(target, new Load(model, now, true));
@@ -115,7 +115,7 @@
      *
      * @param target the target
      */
-    public void ended(InstanceId target) {
+    public void release(InstanceId target) {
         running.remove(target);
     }
 
--- a/serving/src/main/java/org/hallwall/serving/group/SpareWarmUp.java
+++ b/serving/src/main/java/org/hallwall/serving/group/SpareWarmUp.java
@@ -28,7 +28,7 @@
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.serving.config.EngineModel;
 import org.hallwall.serving.config.EngineSpec;
-import org.hallwall.serving.target.GroupMark;
+import org.hallwall.serving.target.GroupMembership;
 import org.hallwall.serving.target.GroupState;
 
 /**
@@ -89,7 +89,7 @@
     }
 
     private static boolean isJoining(Engine e) {
-        GroupMark m = e.record().group();
+        GroupMembership m = e.record().group();
         return m != null && m.state() == GroupState.JOINING;
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/group/StagingPlan.java
+++ b/serving/src/main/java/org/hallwall/serving/group/StagingPlan.java
@@ -33,7 +33,7 @@
 import org.hallwall.serving.config.EngineSpec;
 import org.hallwall.serving.decision.Mechanism;
 import org.hallwall.serving.decision.Mechanisms;
-import org.hallwall.serving.target.GroupMark;
+import org.hallwall.serving.target.GroupMembership;
 
 /**
  * Decides which models are staged on each host, so that missing groups can form and engines can switch models without a load
@@ -91,11 +91,11 @@
         }
         for (String domain : packing.domains().keySet()) {
             List<Engine> idle = idleTimes.idleLongerThan(now, MIN_IDLE_MILLIS, free.getOrDefault(domain, List.of()));
-            if (mechanisms.has(Mechanism.TAKE_APART)) {
+            if (mechanisms.isEnabled(Mechanism.TAKE_APART)) {
                 stageOnSurplusMembers(domain, idle, engines);
             }
         }
-        if (mechanisms.has(Mechanism.SECOND_MODEL)) {
+        if (mechanisms.isEnabled(Mechanism.SECOND_MODEL)) {
             engines.values().forEach(this::addSecondModel);
         }
         return orders(engines);
@@ -119,7 +119,7 @@
      *
      * @param target the target
      */
-    public void begun(InstanceId target) {
+    public void markStarted(InstanceId target) {
         startedLoads.add(target);
     }
 
@@ -285,10 +285,11 @@
     private List<Engine> surplusMembers(String domain, Collection<Engine> engines) {
         Map<String, List<Engine>> groups = new TreeMap<>();
         for (Engine e : engines) {
-            GroupMark mark = e.record().group();
-            boolean joined = mark != null && mark.state().hasJoined() && e.isUsable();
+            GroupMembership membership = e.record().group();
+            boolean joined = membership != null && membership.state().hasJoined() && e.isUsable();
             if (joined && domain.equals(e.record().fabricDomain())) {
-                groups.computeIfAbsent(mark.name(), n -> new ArrayList<>()).add(e);
+                groups.computeIfAbsent(membership.name(), n -> new ArrayList<>())
+                        .add(e);
             }
         }
         Map<String, Integer> selectedByModel = new HashMap<>();
--- a/serving/src/main/java/org/hallwall/serving/group/TargetGateway.java
+++ b/serving/src/main/java/org/hallwall/serving/group/TargetGateway.java
@@ -35,7 +35,7 @@
      * @param timeout the response timeout
      * @return the outcome; never an error
      */
-    Mono<OrderOutcome> order(TargetRecord target, TargetOrder order, long fencingToken, Duration timeout);
+    Mono<OrderOutcome> sendOrder(TargetRecord target, TargetOrder order, long fencingToken, Duration timeout);
 
     /**
      * Probes a target, unless it is not available.
@@ -44,5 +44,5 @@
      * @param timeout the response timeout
      * @return whether it answered; empty if it is not available and was not probed; never an error
      */
-    Mono<Boolean> answers(TargetRecord target, Duration timeout);
+    Mono<Boolean> probe(TargetRecord target, Duration timeout);
 }
--- a/serving/src/main/java/org/hallwall/serving/permit/EntryPermits.java
+++ b/serving/src/main/java/org/hallwall/serving/permit/EntryPermits.java
@@ -61,7 +61,7 @@
     };
     private Runnable onDue = () -> {};
     private long unansweredSince = Long.MAX_VALUE;
-    private int entries;
+    private int entryCount;
 
     /**
      * Creates it without rate limits.
@@ -88,8 +88,8 @@
      *
      * @param most the recent maximum; zero if unknown
      */
-    public synchronized void entries(int most) {
-        entries = most;
+    public synchronized void entryCount(int most) {
+        entryCount = most;
     }
 
     @Override
@@ -117,12 +117,12 @@
      *
      * @param reports the limits, as the control instance reports them
      */
-    public synchronized void learn(List<LimitReport> reports) {
+    public synchronized void applyReports(List<LimitReport> reports) {
         long now = ticker.millis();
-        reports.forEach(r -> learn(r, now));
+        reports.forEach(r -> applyReports(r, now));
     }
 
-    private LimitedTarget learn(LimitReport report, long now) {
+    private LimitedTarget applyReports(LimitReport report, long now) {
         LimitedTarget t = targets.get(report.target());
         if (t == null && report.limit() == null) {
             return null;
@@ -163,7 +163,7 @@
      *
      * @param target the target's start
      */
-    public synchronized void want(InstanceId target) {
+    public synchronized void recordDemand(InstanceId target) {
         LimitedTarget t = targets.get(target);
         if (t != null && t.isLimited()) {
             t.recordDemand(ticker.millis());
@@ -204,11 +204,11 @@
 
     /** Issues local permits at even intervals with a random phase while no control instance answers. */
     private void updateLocalPermit(LimitedTarget t, long now) {
-        if (now - unansweredSince < ANSWER_TIMEOUT_MILLIS || entries == 0) {
+        if (now - unansweredSince < ANSWER_TIMEOUT_MILLIS || entryCount == 0) {
             t.cancelLocalPermit();
             return;
         }
-        double rate = PermitBucket.effectiveRate(t.statement().limit()) * LOCAL_FRACTION / entries;
+        double rate = PermitBucket.effectiveRate(t.statement().limit()) * LOCAL_FRACTION / entryCount;
         long interval = Math.max(1, (long) (MILLIS_PER_SECOND / rate));
         if (t.localPermitFrom() == Long.MAX_VALUE) {
             t.issueLocalPermit(now + (long) (interval * random.getAsDouble()));
@@ -224,7 +224,7 @@
      *
      * @return the time in milliseconds; negative if there is nothing to request
      */
-    public synchronized long dueMillis() {
+    public synchronized long millisUntilDue() {
         long now = ticker.millis();
         long due = Long.MAX_VALUE;
         for (LimitedTarget t : targets.values()) {
@@ -238,12 +238,12 @@
      *
      * @return one request for each target
      */
-    public synchronized List<PermitAsk> asks() {
+    public synchronized List<PermitDemand> dueRequests() {
         long now = ticker.millis();
-        List<PermitAsk> out = new ArrayList<>();
+        List<PermitDemand> out = new ArrayList<>();
         targets.forEach((target, t) -> {
             if (t.requestDueAt(now) <= now) {
-                out.add(new PermitAsk(t.report(target, now), t.isUnreported(), t.demand(), t.drainUnused()));
+                out.add(new PermitDemand(t.report(target, now), t.isUnreported(), t.demand(), t.drainUnused()));
             }
         });
         if (!out.isEmpty()) {
@@ -258,7 +258,7 @@
      * @param grants the granted permits
      * @param requestedAt the ticker time at which they were requested
      */
-    public synchronized void take(List<PermitGrant> grants, long requestedAt) {
+    public synchronized void applyGrants(List<PermitGrant> grants, long requestedAt) {
         long now = ticker.millis();
         unansweredSince = Long.MAX_VALUE;
         for (PermitGrant g : grants) {
@@ -266,7 +266,7 @@
             if (reported != null) {
                 reported.markReported();
             }
-            LimitedTarget t = learn(g.limit(), now);
+            LimitedTarget t = applyReports(g.limit(), now);
             if (t != null) {
                 t.addPermits(g.permits(), requestedAt, now);
                 t.nextRequestAt(now + (t.isKnownToAllocator() ? g.retryMillis() : REPORT_INTERVAL_MILLIS));
@@ -279,7 +279,7 @@
      *
      * @return the number of targets
      */
-    public synchronized int limited() {
+    public synchronized int limitedTargets() {
         return (int) targets.values().stream().filter(LimitedTarget::isLimited).count();
     }
 
--- a/serving/src/main/java/org/hallwall/serving/permit/PermitLedger.java
+++ b/serving/src/main/java/org/hallwall/serving/permit/PermitAllocator.java
@@ -33,7 +33,7 @@
  * acquire their permits directly. A new token bucket starts empty, since permits granted by a previous control instance may still be in
  * use. Thread-safe.
  */
-public final class PermitLedger implements RateLimiter {
+public final class PermitAllocator implements RateLimiter {
 
     /** Maximum number of targets; the least recently used one is evicted. */
     private static final int MAX_TARGETS = 4_096;
@@ -57,7 +57,7 @@
      * @param ticker the clock
      * @param firstVersion the version before the first one; must differ for every ledger
      */
-    public PermitLedger(Ticker ticker, long firstVersion) {
+    public PermitAllocator(Ticker ticker, long firstVersion) {
         this.ticker = ticker;
         this.version = firstVersion;
     }
@@ -69,32 +69,32 @@
      * @param asks its requests by target
      * @return the grants, in the same order
      */
-    public synchronized List<PermitGrant> take(InstanceId entry, List<PermitAsk> asks) {
+    public synchronized List<PermitGrant> allocate(InstanceId entry, List<PermitDemand> asks) {
         List<PermitGrant> out = new ArrayList<>();
-        for (PermitAsk a : asks) {
-            out.add(take(entry, a));
+        for (PermitDemand a : asks) {
+            out.add(allocate(entry, a));
         }
         return out;
     }
 
-    private PermitGrant take(InstanceId entry, PermitAsk ask) {
+    private PermitGrant allocate(InstanceId entry, PermitDemand demand) {
         long now = ticker.millis();
-        InstanceId target = ask.limit().target();
-        if (ask.heard() || !targets.containsKey(target)) {
-            applyReport(ask.limit());
+        InstanceId target = demand.limit().target();
+        if (demand.heard() || !targets.containsKey(target)) {
+            applyReport(demand.limit());
         }
         LimitState state = targets.get(target);
         if (state == null) {
-            return new PermitGrant(ask.limit(), ask.wanted(), 0);
+            return new PermitGrant(demand.limit(), demand.wanted(), 0);
         }
         if (state.limit == null) {
-            return new PermitGrant(state.report(target, now), ask.wanted(), 0);
+            return new PermitGrant(state.report(target, now), demand.wanted(), 0);
         }
         double rate = PermitBucket.effectiveRate(state.limit);
         state.bucket.refill(rate, now);
-        state.bucket.returnUnused(rate, ask.unused());
-        int permits = state.bucket.acquire(entry, ask.wanted());
-        long retry = permits < ask.wanted() ? state.bucket.enqueue(entry, rate, now) : 0;
+        state.bucket.returnUnused(rate, demand.unused());
+        int permits = state.bucket.acquire(entry, demand.wanted());
+        long retry = permits < demand.wanted() ? state.bucket.enqueue(entry, rate, now) : 0;
         return new PermitGrant(state.report(target, now), permits, retry);
     }
 
--- a/serving/src/main/java/org/hallwall/serving/permit/PermitBucket.java
+++ b/serving/src/main/java/org/hallwall/serving/permit/PermitBucket.java
@@ -23,7 +23,7 @@
 
 import org.hallwall.core.id.InstanceId;
 
-/** The token bucket of one target and a FIFO queue of entries that wait for permits. Guarded by {@link PermitLedger}. */
+/** The token bucket of one target and a FIFO queue of entries that wait for permits. Guarded by {@link PermitAllocator}. */
 final class PermitBucket {
 
     /** The minimum effective rate in requests per second: only a response can end a limit, so some requests must be sent. */
--- a/serving/src/main/java/org/hallwall/serving/permit/PermitAsk.java
+++ b/serving/src/main/java/org/hallwall/serving/permit/PermitDemand.java
@@ -26,4 +26,4 @@
  * @param wanted the number of permits needed
  * @param unused the number of permits that expired unused since the last request
  */
-public record PermitAsk(LimitReport limit, boolean heard, int wanted, int unused) {}
+public record PermitDemand(LimitReport limit, boolean heard, int wanted, int unused) {}
--- a/serving/src/main/java/org/hallwall/serving/permit/package-info.java
+++ b/serving/src/main/java/org/hallwall/serving/permit/package-info.java
@@ -20,7 +20,7 @@
  * Distributed rate limiting of targets.
  *
  * <p>A target declares the rate of requests that it accepts from all entries together. The control instance that controls the groups keeps
- * a token bucket for each limited target ({@code PermitLedger}); every message to the target uses a permit. Entries request permits
+ * a token bucket for each limited target ({@code PermitAllocator}); every message to the target uses a permit. Entries request permits
  * according to their demand, hold them for a short lease and return those that expire unused ({@code EntryPermits}). The overall rate is
  * thus bounded by one bucket and one lease, independent of the number of entries and the distribution of load.
  *
--- a/serving/src/main/java/org/hallwall/serving/relay/AdmissionControl.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/AdmissionControl.java
@@ -92,7 +92,7 @@
      * @param request the request
      */
     void recordRefusal(RelayRequest request) {
-        if (!request.likelyRetry() && mechanisms.has(Mechanism.REFUSED_DEMAND)) {
+        if (!request.likelyRetry() && mechanisms.isEnabled(Mechanism.REFUSED_DEMAND)) {
             refusedDemand(request).recordRefusal(ticker.millis());
         }
     }
@@ -146,8 +146,8 @@
     }
 
     private boolean hasCapacity(RelayRequest request, List<ServingTarget> targets) {
-        boolean retried = request.likelyRetry() && mechanisms.has(Mechanism.RETURNS_LAST);
-        return StreamRoom.holds(outstanding(targets), effectiveSlots(targets), retried);
+        boolean retried = request.likelyRetry() && mechanisms.isEnabled(Mechanism.RETURNS_LAST);
+        return StreamCapacity.hasCapacity(outstanding(targets), effectiveSlots(targets), retried);
     }
 
     private int outstanding(List<ServingTarget> targets) {
--- a/serving/src/main/java/org/hallwall/serving/relay/Attempts.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/Attempts.java
@@ -74,7 +74,7 @@
 
     /** Returns whether the request may run again after the current attempt. */
     boolean mayRetry() {
-        return request.route().mayRepeat() && runCount + 1 < request.route().attempts();
+        return request.route().isRetryable() && runCount + 1 < request.route().maxAttempts();
     }
 
     Verdict verdict() {
@@ -91,18 +91,18 @@
 
     /** Records that the current attempt was aborted without a response. */
     void abandon(ServingTarget target) {
-        verdict = verdict.and(Verdict.MAY_HAVE_RUN);
+        verdict = verdict.combineWith(Verdict.MAY_HAVE_RUN);
         markAbandoned(target);
     }
 
     /** Records that the current attempt was abandoned while the target may still run it. */
     void markAbandoned(ServingTarget target) {
-        context.crashWatch().left(target.instance(), digest());
+        context.crashWatch().recordAbandoned(target.instance(), digest());
     }
 
     /** Records that the target of the current attempt has responded. */
     void markAnswered() {
-        context.crashWatch().survived(digest());
+        context.crashWatch().recordAnswer(digest());
     }
 
     /** Computes the digest on first use; null until the key is known. */
@@ -131,7 +131,7 @@
         }
         updateTargetState(context.balancer().state(target), target, f);
         updateCrashWatch(target, f);
-        verdict = verdict.and(f.verdict());
+        verdict = verdict.combineWith(f.verdict());
         RetryDecision decision = decide(f, charged);
         context.metrics().countRetryDecision(request.service(), decision);
         LOG.infof(
@@ -161,11 +161,11 @@
     private void updateCrashWatch(ServingTarget target, AttemptFailure f) {
         switch (f.kind()) {
             case CONNECTION_REFUSED:
-                context.crashWatch().gone(target.instance());
+                context.crashWatch().recordCrash(target.instance());
                 break;
             case CONNECTION_LOST:
                 disconnectedBy.add(target.instance());
-                context.crashWatch().cut(target.instance(), digest());
+                context.crashWatch().recordDisconnect(target.instance(), digest());
                 break;
             case ABANDONED:
                 markAbandoned(target);
@@ -179,7 +179,7 @@
     private RetryDecision decide(AttemptFailure f, boolean charged) {
         boolean allowed = f.verdict() == Verdict.NOT_RUN
                 ? rejections <= MAX_REJECTIONS
-                : request.route().mayRepeat() && runCount < request.route().attempts();
+                : request.route().isRetryable() && runCount < request.route().maxAttempts();
         if (!allowed) {
             return RetryDecision.NOT_ALLOWED;
         }
--- a/serving/src/main/java/org/hallwall/serving/relay/Balancer.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/Balancer.java
@@ -76,11 +76,12 @@
      */
     ServingTarget choose(List<ServingTarget> targets, Set<InstanceId> tried) {
         List<ServingTarget> remaining = eligible(targets, tried);
-        ServingTarget local = fleet.isFresh() && mechanisms.has(Mechanism.NEAR_FIRST) ? chooseLocal(remaining) : null;
+        ServingTarget local =
+                fleet.isFresh() && mechanisms.isEnabled(Mechanism.NEAR_FIRST) ? chooseLocal(remaining) : null;
         if (local != null) {
             return local;
         }
-        if (fleet.isFresh() && remaining.size() > 2 && mechanisms.has(Mechanism.TWO_CHOICES)) {
+        if (fleet.isFresh() && remaining.size() > 2 && mechanisms.isEnabled(Mechanism.TWO_CHOICES)) {
             remaining = pickTwo(remaining);
         }
         ServingTarget best = null;
--- a/serving/src/main/java/org/hallwall/serving/relay/BufferedRun.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/BufferedRun.java
@@ -89,7 +89,7 @@
         if (!attempts.mayRetry()) {
             return remainingMillis;
         }
-        long timeoutMillis = (long) (request.route().objectiveMillis() * ATTEMPT_TIMEOUT_FACTOR);
+        long timeoutMillis = (long) (request.route().latencyObjectiveMillis() * ATTEMPT_TIMEOUT_FACTOR);
         return Math.min(remainingMillis, Math.max(MIN_ATTEMPT_TIMEOUT_MILLIS, timeoutMillis));
     }
 
--- a/serving/src/main/java/org/hallwall/serving/relay/CandidateTargets.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/CandidateTargets.java
@@ -72,7 +72,7 @@
      * there are targets without a rate limit, otherwise in proportion to the limits.
      */
     void recordArrival(RelayRequest request) {
-        if (permits.limited() == 0) {
+        if (permits.limitedTargets() == 0) {
             return;
         }
         List<ServingTarget> all = serving(request).stream()
@@ -87,7 +87,7 @@
         for (ServingTarget t : all) {
             point -= even ? 1 : permits.perSecond(t.instance());
             if (point < 0) {
-                permits.want(t.instance());
+                permits.recordDemand(t.instance());
                 return;
             }
         }
--- a/serving/src/main/java/org/hallwall/serving/relay/CrashExchange.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/CrashExchange.java
@@ -28,12 +28,12 @@
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.settings.NetAddress;
 import org.hallwall.serving.crash.CrashPeers;
-import org.hallwall.serving.crash.EndedTarget;
+import org.hallwall.serving.crash.CrashedTarget;
 import org.hallwall.serving.crash.RequestDigest;
 import org.hallwall.serving.target.FeedMessage.CrashReport;
-import org.hallwall.serving.target.FeedMessage.CrashReportTaken;
+import org.hallwall.serving.target.FeedMessage.CrashReportResult;
 import org.hallwall.serving.target.FeedMessage.TrialAnswer;
-import org.hallwall.serving.target.FeedMessage.TrialQuestion;
+import org.hallwall.serving.target.FeedMessage.TrialRequest;
 import org.hallwall.serving.target.TargetDirectory;
 import org.hallwall.serving.target.TargetRecord;
 import org.hallwall.wire.PeerException;
@@ -77,13 +77,13 @@
     }
 
     @Override
-    public Mono<Boolean> answers(InstanceId target) {
+    public Mono<Boolean> isResponding(InstanceId target) {
         // a target that is backing off has responded recently; a later check detects a crash
         return probe.apply(target).defaultIfEmpty(true);
     }
 
     @Override
-    public Mono<Boolean> refuses(InstanceId target) {
+    public Mono<Boolean> refusesConnections(InstanceId target) {
         TargetRecord record = directory.find(target);
         // a target that has announced its shutdown does not count as crashed
         return record == null || !record.isServing()
@@ -92,27 +92,27 @@
     }
 
     @Override
-    public boolean hasStartedAgain(InstanceId target) {
+    public boolean hasRestarted(InstanceId target) {
         TargetRecord record = directory.find(target);
         return record != null && record.presence() == TargetRecord.Presence.REPLACED;
     }
 
     @Override
-    public Mono<Long> report(List<EndedTarget> ended, List<RequestDigest> survived) {
+    public Mono<Long> report(List<CrashedTarget> ended, List<RequestDigest> survived) {
         return callControllers(new CrashReport(ended, survived), REPORT_TIMEOUT)
-                .ofType(CrashReportTaken.class)
-                .filter(CrashReportTaken::taken)
+                .ofType(CrashReportResult.class)
+                .filter(CrashReportResult::taken)
                 .next()
-                .map(CrashReportTaken::version);
+                .map(CrashReportResult::version);
     }
 
     @Override
-    public Mono<Trial> mayTry(RequestDigest digest) {
-        return callControllers(new TrialQuestion(digest), TRIAL_TIMEOUT)
+    public Mono<TrialDecision> requestTrial(RequestDigest digest) {
+        return callControllers(new TrialRequest(digest), TRIAL_TIMEOUT)
                 .ofType(TrialAnswer.class)
                 .filter(TrialAnswer::leads)
                 .next()
-                .map(a -> new Trial(a.granted(), a.againMillis()));
+                .map(a -> new TrialDecision(a.granted(), a.againMillis()));
     }
 
     private Flux<PeerMessage> callControllers(PeerMessage message, Duration timeout) {
--- a/serving/src/main/java/org/hallwall/serving/relay/EntryNode.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/EntryNode.java
@@ -35,7 +35,7 @@
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.ScheduledFuture;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
-import org.hallwall.core.duty.DutyThread;
+import org.hallwall.core.duty.EventLoopThread;
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.settings.NetAddress;
 import org.hallwall.core.time.Ticker;
@@ -44,14 +44,14 @@
 import org.hallwall.serving.config.ConfigurationException;
 import org.hallwall.serving.config.ConfigurationReader;
 import org.hallwall.serving.control.ControlNode;
-import org.hallwall.serving.control.PackedBytes;
+import org.hallwall.serving.control.Gzip;
 import org.hallwall.serving.crash.CrashWatch;
 import org.hallwall.serving.group.TargetGateway;
 import org.hallwall.serving.permit.EntryPermits;
 import org.hallwall.serving.target.FeedFollower;
 import org.hallwall.serving.target.FeedMessage;
 import org.hallwall.serving.target.FeedMessage.ControlMember;
-import org.hallwall.serving.target.FeedMessage.HeadFinding;
+import org.hallwall.serving.target.FeedMessage.HeadCheckResult;
 import org.hallwall.serving.target.FeedMessage.StalledHead;
 import org.hallwall.serving.target.GroupLiveness;
 import org.hallwall.serving.target.TargetDirectory;
@@ -92,7 +92,7 @@
     private final EntryPermits permits =
             new EntryPermits(ticker, () -> ThreadLocalRandom.current().nextDouble());
     private final TargetAvailability availability = new TargetAvailability(ticker, permits);
-    private final PeerCodec codec = new PeerCodec(ControlNode.kinds());
+    private final PeerCodec codec = new PeerCodec(ControlNode.messageTypes());
     private final Map<InstanceId, PeerLink> links = new ConcurrentHashMap<>();
     private final Map<InstanceId, FeedFollower> followers = new HashMap<>();
     private final LoopResources loops = LoopResources.create("io", 1, true);
@@ -100,10 +100,10 @@
     private final LoadExchange loadExchange;
     private final PermitExchange permitExchange;
     private final RetryBudget retryBudget;
-    private final CrashWatch crashes;
+    private final CrashWatch crashWatch;
     private final EventLoop io;
     private final RelayServer server;
-    private final DutyThread feedThread;
+    private final EventLoopThread feedThread;
     private final Map<String, String> bootIds = new HashMap<>();
     private final AtomicLong latestReceivedVersion = new AtomicLong();
     private ScheduledFuture<?> crashCheck;
@@ -137,7 +137,7 @@
         this.loadExchange = new LoadExchange(io, balancer, fleet, permits, links::values);
         this.permitExchange = new PermitExchange(io, permits, loadExchange::controllers, ticker);
         TargetClient client = new TargetClient(loops, names, availability, ticker);
-        this.crashes = new CrashWatch(
+        this.crashWatch = new CrashWatch(
                 new CrashExchange(loadExchange::controllers, directory, this::probe, client::refusesConnections),
                 io,
                 ticker);
@@ -157,10 +157,10 @@
                 admission,
                 new StreamMonitor(),
                 new RelayMetrics(registry),
-                crashes,
+                crashWatch,
                 ticker);
         this.server = new RelayServer(context);
-        this.feedThread = new DutyThread("feeds", RING_SIZE, TICK_MILLIS, () -> {});
+        this.feedThread = new EventLoopThread("feeds", RING_SIZE, TICK_MILLIS, () -> {});
     }
 
     /**
@@ -180,7 +180,7 @@
         loadExchange.start();
         permits.onDue(permitExchange::trigger);
         crashCheck = io.scheduleAtFixedRate(
-                crashes::tick, CRASH_CHECK_INTERVAL_MILLIS, CRASH_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+                crashWatch::tick, CRASH_CHECK_INTERVAL_MILLIS, CRASH_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         connect(settings.seeds());
         LOG.infof("entry: %s accepts client requests on port %d", settings.instance(), server.port());
     }
@@ -204,7 +204,7 @@
         return !stopping
                 && state.routes().configuration().version() > 0
                 && firstUpdateAt >= 0
-                && crashes.isReady()
+                && crashWatch.isReady()
                 && hasSeenTargets();
     }
 
@@ -228,8 +228,8 @@
      *
      * @return the crash watch
      */
-    public CrashWatch crashes() {
-        return crashes;
+    public CrashWatch crashWatch() {
+        return crashWatch;
     }
 
     /**
@@ -297,7 +297,7 @@
     private void disconnectUnlisted(List<ControlMember> members) {
         List<InstanceId> listed = members.stream().map(ControlMember::instance).toList();
         for (InstanceId id : List.copyOf(links.keySet())) {
-            if (!listed.contains(id) && !followers.get(id).isInTouch()) {
+            if (!listed.contains(id) && !followers.get(id).isConnected()) {
                 LOG.infof("entry: control instance %s is no longer a member", id);
                 followers.remove(id).close();
                 links.remove(id).close();
@@ -318,7 +318,7 @@
                         link,
                         false,
                         this::receivedVersion,
-                        crashes::version,
+                        crashWatch::version,
                         admission::streamDemand,
                         onFeedThread(news -> applyUpdate(m.instance().value(), news)));
                 followers.put(m.instance(), follower);
@@ -337,7 +337,7 @@
     }
 
     /** Hands updates to the feed thread; throws if its queue is full, so that the follower requests them again. */
-    private Consumer<FeedMessage.News> onFeedThread(Consumer<FeedMessage.News> consumer) {
+    private Consumer<FeedMessage.Changes> onFeedThread(Consumer<FeedMessage.Changes> consumer) {
         return news -> {
             latestReceivedVersion.accumulateAndGet(news.configurationVersion(), Math::max);
             if (!feedThread.offer(() -> consumer.accept(news))) {
@@ -346,8 +346,8 @@
         };
     }
 
-    private void applyUpdate(String control, FeedMessage.News news) {
-        news.records().forEach(directory::take);
+    private void applyUpdate(String control, FeedMessage.Changes news) {
+        news.records().forEach(directory::applyRecord);
         if (!news.boot().equals(bootIds.put(control, news.boot())) || news.lost() != null) {
             state.setLostTargets(control, news.lost() == null ? List.of() : news.lost());
         }
@@ -358,10 +358,10 @@
             state.refreshTargets();
         }
         if (news.suspects() != null) {
-            io.execute(() -> crashes.take(news.suspects()));
+            io.execute(() -> crashWatch.applyUpdate(news.suspects()));
         }
         retryBudget.recordEntryCount(news.mostEntries());
-        permits.entries(news.mostEntries());
+        permits.entryCount(news.mostEntries());
         admission.setEntryCount(news.entries());
         loadExchange.setEntryCount(news.entries());
         if (!news.members().isEmpty()) {
@@ -373,12 +373,12 @@
         }
     }
 
-    private void applyConfiguration(FeedMessage.News news) {
+    private void applyConfiguration(FeedMessage.Changes news) {
         if (news.configurationVersion() <= configurationVersion()) {
             return;
         }
         try {
-            state.applyConfiguration(reader.read(PackedBytes.unpack(news.configuration())));
+            state.applyConfiguration(reader.read(Gzip.decompress(news.configuration())));
         } catch (IOException | ConfigurationException e) {
             LOG.errorf(e, "configuration: version %d cannot be parsed", news.configurationVersion());
         }
@@ -389,15 +389,15 @@
         return Flux.fromIterable(loadExchange.controllers())
                 .flatMap(l -> callController(l, head)
                         .flatMap(f -> f.liveness() == GroupLiveness.SUSPECTED ? probeSuspects(l, f) : Mono.just(f)))
-                .map(HeadFinding::liveness)
+                .map(HeadCheckResult::liveness)
                 .filter(found -> found != GroupLiveness.UNKNOWN)
                 .next()
                 .defaultIfEmpty(GroupLiveness.UNKNOWN);
     }
 
-    private static Mono<HeadFinding> callController(PeerLink link, FeedMessage message) {
+    private static Mono<HeadCheckResult> callController(PeerLink link, FeedMessage message) {
         return link.call(message, HEAD_QUERY_TIMEOUT)
-                .ofType(HeadFinding.class)
+                .ofType(HeadCheckResult.class)
                 .onErrorResume(PeerException.class, e -> {
                     LOG.debugf("entry: no response to %s, %s", message, e.getMessage());
                     return Mono.empty();
@@ -408,11 +408,11 @@
      * Probes the suspected members that may be probed and reports the result to the controller. Falls back to its own
      * result if the controller does not respond.
      */
-    private Mono<HeadFinding> probeSuspects(PeerLink link, HeadFinding suspected) {
+    private Mono<HeadCheckResult> probeSuspects(PeerLink link, HeadCheckResult suspected) {
         List<InstanceId> probed =
-                suspected.suspects().stream().filter(availability::mayProbe).toList();
+                suspected.suspects().stream().filter(availability::canProbe).toList();
         if (probed.isEmpty()) {
-            return Mono.just(new HeadFinding(suspected.group(), GroupLiveness.UNKNOWN, List.of()));
+            return Mono.just(new HeadCheckResult(suspected.group(), GroupLiveness.UNKNOWN, List.of()));
         }
         return Flux.fromIterable(probed)
                 .filterWhen(id -> probe(id).defaultIfEmpty(true))
@@ -421,14 +421,14 @@
                     List<InstanceId> silent = new ArrayList<>(probed);
                     silent.removeAll(reached);
                     GroupLiveness liveness = silent.isEmpty() ? GroupLiveness.WORKING : GroupLiveness.LOST;
-                    return callController(link, new FeedMessage.SuspectFinding(suspected.group(), reached, silent))
-                            .defaultIfEmpty(new HeadFinding(suspected.group(), liveness, List.of()));
+                    return callController(link, new FeedMessage.SuspectCheckResult(suspected.group(), reached, silent))
+                            .defaultIfEmpty(new HeadCheckResult(suspected.group(), liveness, List.of()));
                 });
     }
 
     private Mono<Boolean> probe(InstanceId target) {
         TargetRecord record = directory.find(target);
-        return record == null || gateway == null ? Mono.just(false) : gateway.answers(record, PROBE_TIMEOUT);
+        return record == null || gateway == null ? Mono.just(false) : gateway.probe(record, PROBE_TIMEOUT);
     }
 
     /**
--- a/serving/src/main/java/org/hallwall/serving/relay/EntryState.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/EntryState.java
@@ -30,7 +30,7 @@
 import org.hallwall.serving.config.Configuration;
 import org.hallwall.serving.config.RouteTable;
 import org.hallwall.serving.target.TargetDirectory;
-import org.hallwall.serving.target.TargetDirectory.KnownTarget;
+import org.hallwall.serving.target.TargetDirectory.AnnouncedTarget;
 import org.hallwall.serving.target.TargetRecord;
 import org.jboss.logging.Logger;
 
@@ -42,7 +42,7 @@
     private final TargetDirectory directory;
     private final List<Runnable> listeners = new CopyOnWriteArrayList<>();
     private final Map<String, Set<InstanceId>> lostByControl = new HashMap<>();
-    private volatile RouteTable routes = new RouteTable(Configuration.NONE);
+    private volatile RouteTable routes = new RouteTable(Configuration.EMPTY);
     private volatile ServingTargets targets = ServingTargets.NONE;
 
     /**
@@ -111,7 +111,7 @@
     /** Recomputes the targets that can serve requests. */
     public synchronized void refreshTargets() {
         List<TargetRecord> records = new ArrayList<>();
-        for (KnownTarget t : directory.list()) {
+        for (AnnouncedTarget t : directory.list()) {
             TargetRecord r = t.record();
             if (lostByControl.values().stream().noneMatch(lost -> lost.contains(r.instance()))) {
                 records.add(r);
--- a/serving/src/main/java/org/hallwall/serving/relay/LoadExchange.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/LoadExchange.java
@@ -30,7 +30,7 @@
 import io.netty.util.concurrent.ScheduledFuture;
 import org.hallwall.serving.permit.EntryPermits;
 import org.hallwall.serving.target.FeedMessage.LoadReport;
-import org.hallwall.serving.target.FeedMessage.LoadSums;
+import org.hallwall.serving.target.FeedMessage.LoadTotals;
 import org.hallwall.wire.PeerException;
 import org.hallwall.wire.PeerLink;
 import org.jboss.logging.Logger;
@@ -103,16 +103,16 @@
                 .subscribe(s -> loop.execute(() -> applySums(own, s)), e -> LOG.errorf(e, "load: the exchange failed"));
     }
 
-    private void applySums(Map<String, Integer> own, LoadSums sums) {
-        load.update(own, sums.running());
-        permits.learn(sums.limits());
+    private void applySums(Map<String, Integer> own, LoadTotals totals) {
+        load.update(own, totals.running());
+        permits.applyReports(totals.limits());
     }
 
     /** Requests the totals; empty if the control instance is not the group controller. */
-    private Mono<LoadSums> requestSums(PeerLink link, Map<String, Integer> own) {
+    private Mono<LoadTotals> requestSums(PeerLink link, Map<String, Integer> own) {
         return link.call(new LoadReport(own), TIMEOUT)
-                .cast(LoadSums.class)
-                .filter(LoadSums::controls)
+                .cast(LoadTotals.class)
+                .filter(LoadTotals::controls)
                 .doOnNext(s -> controllerLink = link)
                 .onErrorResume(PeerException.class, e -> {
                     LOG.debugf("load: no totals received, %s", e.getMessage());
--- a/serving/src/main/java/org/hallwall/serving/relay/PermitExchange.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/PermitExchange.java
@@ -29,7 +29,7 @@
 import io.netty.util.concurrent.ScheduledFuture;
 import org.hallwall.core.time.Ticker;
 import org.hallwall.serving.permit.EntryPermits;
-import org.hallwall.serving.permit.PermitAsk;
+import org.hallwall.serving.permit.PermitDemand;
 import org.hallwall.serving.target.FeedMessage.PermitRequest;
 import org.hallwall.serving.target.FeedMessage.Permits;
 import org.hallwall.wire.PeerException;
@@ -81,7 +81,7 @@
     }
 
     private void scheduleNext() {
-        long due = permits.dueMillis();
+        long due = permits.millisUntilDue();
         if (callInProgress || closed || due < 0) {
             return;
         }
@@ -100,7 +100,7 @@
     private void sendRequest() {
         scheduledCall = null;
         long now = ticker.millis();
-        List<PermitAsk> asks = permits.asks();
+        List<PermitDemand> asks = permits.dueRequests();
         if (asks.isEmpty() || closed) {
             scheduleNext();
             return;
@@ -117,7 +117,7 @@
     }
 
     /** Requests grants; empty if the control instance is not the group controller. */
-    private static Mono<Permits> requestPermits(PeerLink link, List<PermitAsk> asks) {
+    private static Mono<Permits> requestPermits(PeerLink link, List<PermitDemand> asks) {
         return link.call(new PermitRequest(asks), TIMEOUT)
                 .cast(Permits.class)
                 .filter(Permits::controls)
@@ -129,7 +129,7 @@
 
     private void applyPermits(Permits response, long sentAt) {
         notBefore = sentAt + MIN_INTERVAL_MILLIS;
-        permits.take(response.grants(), sentAt);
+        permits.applyGrants(response.grants(), sentAt);
     }
 
     private void callCompleted() {
--- a/serving/src/main/java/org/hallwall/serving/relay/RelayRequest.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/RelayRequest.java
@@ -77,6 +77,7 @@
 
     /** Computes the digest over the parts that a retry repeats: workspace, host, method, path and body. */
     RequestDigest computeDigest(RequestDigester digester, HeaderNames names) {
-        return digester.of(headers.get(names.workspace()), headers.get(HttpHeaderNames.HOST), method.name(), uri, body);
+        return digester.digest(
+                headers.get(names.workspace()), headers.get(HttpHeaderNames.HOST), method.name(), uri, body);
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/relay/RelayServer.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/RelayServer.java
@@ -36,7 +36,7 @@
 import io.netty.util.concurrent.GenericFutureListener;
 import org.hallwall.core.settings.NetAddress;
 import org.hallwall.core.verdict.Verdict;
-import org.hallwall.program.HttpPorts;
+import org.hallwall.program.HttpServerBinder;
 import org.hallwall.program.ProgramException;
 import org.hallwall.serving.config.RequestKind;
 import org.hallwall.serving.config.Route;
@@ -105,7 +105,7 @@
                 .idleTimeout(IDLE_TIMEOUT)
                 .httpRequestDecoder(spec -> spec.maxHeaderSize(MAX_HEAD_BYTES).maxInitialLineLength(MAX_HEAD_BYTES))
                 .handle(this::handle);
-        server = HttpPorts.bind(http, address);
+        server = HttpServerBinder.bind(http, address);
     }
 
     /**
@@ -167,13 +167,13 @@
         }
         HttpHeaders headers = req.requestHeaders();
         checkHeadSize(routes, headers, req.uri());
-        Route route = routes.route(headers.get(HttpHeaderNames.HOST), req.uri());
+        Route route = routes.findRoute(headers.get(HttpHeaderNames.HOST), req.uri());
         if (route == null) {
             throw new RelayRefusal(404, Verdict.NOT_RUN, "no route matches this path", 0);
         }
         WorkspaceKeys workspace =
-                routes.workspace(headers.get(context.headerNames().key()));
-        if (workspace == null && routes.needsKeys() && !route.anonymous()) {
+                routes.findWorkspace(headers.get(context.headerNames().key()));
+        if (workspace == null && routes.requiresKeys() && !route.anonymous()) {
             throw new RelayRefusal(401, Verdict.NOT_RUN, "unknown key", 0);
         }
         String attemptId = headers.get(context.headerNames().attemptId());
@@ -184,8 +184,8 @@
         long timeoutMillis = callerTimeoutMillis(headers, route);
         boolean likelyRetry = retryDetector.isRetry(route, timeoutMillis);
         long deadlineAt = now + Math.min(route.timeoutMillis(), timeoutMillis);
-        int maxBodyBytes = routes.configuration().limits().bodyBytes();
-        String service = route.service(ThreadLocalRandom.current().nextDouble());
+        int maxBodyBytes = routes.configuration().limits().maxBodyBytes();
+        String service = route.selectService(ThreadLocalRandom.current().nextDouble());
         context.retryBudget().recordRequest(service);
         return readBody(req, maxBodyBytes)
                 .map(body -> withDigest(new RelayRequest(
@@ -224,7 +224,7 @@
                 .flatMap(millis -> {
                     context.metrics().countHeldBack(r.service());
                     return Mono.<RelayRequest>error(
-                            RelayRefusal.notRun(context.crashWatch().describe(r.digest()), millis));
+                            RelayRefusal.notRun(context.crashWatch().describeHold(r.digest()), millis));
                 })
                 .defaultIfEmpty(r);
     }
@@ -234,7 +234,7 @@
         for (Map.Entry<String, String> h : headers) {
             size += h.getKey().length() + h.getValue().length() + 4;
         }
-        if (size > routes.configuration().limits().headerBytes()) {
+        if (size > routes.configuration().limits().maxHeaderBytes()) {
             throw new RelayRefusal(431, Verdict.NOT_RUN, "the request head is too large", 0);
         }
     }
--- a/serving/src/main/java/org/hallwall/serving/relay/RetryBudget.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/RetryBudget.java
@@ -22,7 +22,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-import org.hallwall.core.time.RecentPeak;
+import org.hallwall.core.time.RecentMaximum;
 import org.hallwall.core.time.Ticker;
 
 /**
@@ -51,7 +51,7 @@
     private final long windowMillis;
     private final Ticker ticker;
     private final Map<String, RetryWindow> windows = new HashMap<>();
-    private final RecentPeak entryPeak;
+    private final RecentMaximum entryPeak;
     private final long extraFrom;
 
     /**
@@ -68,7 +68,7 @@
         this.extra = extra;
         this.windowMillis = windowMillis;
         this.ticker = ticker;
-        this.entryPeak = new RecentPeak(ENTRY_PEAK_MILLIS, ticker);
+        this.entryPeak = new RecentMaximum(ENTRY_PEAK_MILLIS, ticker);
         // the retries before a restart are unknown; the share is restored when no window contains them any more
         this.extraFrom = ticker.millis() + (firstStart ? 0 : windowMillis + RetryWindow.deliveryMillis(windowMillis));
     }
@@ -79,7 +79,7 @@
      * @param most the highest recent number of entries; zero if unknown
      */
     public void recordEntryCount(int most) {
-        entryPeak.note(most);
+        entryPeak.record(most);
     }
 
     /**
@@ -120,7 +120,7 @@
     }
 
     private double extraShare() {
-        int count = entryPeak.highest();
+        int count = entryPeak.max();
         return count == 0 || ticker.millis() < extraFrom ? 0 : extra / count * USABLE_FRACTION;
     }
 
--- a/serving/src/main/java/org/hallwall/serving/relay/ServingTarget.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/ServingTarget.java
@@ -20,7 +20,7 @@
 
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.settings.NetAddress;
-import org.hallwall.serving.target.GroupMark;
+import org.hallwall.serving.target.GroupMembership;
 
 /**
  * A target that can serve requests: a plain target, or the head of a complete group.
@@ -41,7 +41,7 @@
         String failureDomain,
         int slots,
         String model,
-        GroupMark group,
+        GroupMembership group,
         double slowdown) {
 
     /**
@@ -51,7 +51,7 @@
      * @return true if instance and group are the same
      */
     public boolean isSame(ServingTarget other) {
-        boolean sameGroup = group == null ? other.group == null : group.sameGroup(other.group);
+        boolean sameGroup = group == null ? other.group == null : group.isSameGroup(other.group);
         return sameGroup && instance.equals(other.instance);
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/relay/ServingTargets.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/ServingTargets.java
@@ -31,7 +31,7 @@
 import org.hallwall.serving.config.EngineModel;
 import org.hallwall.serving.config.EngineSpec;
 import org.hallwall.serving.config.TargetService;
-import org.hallwall.serving.target.GroupMark;
+import org.hallwall.serving.target.GroupMembership;
 import org.hallwall.serving.target.GroupState;
 import org.hallwall.serving.target.TargetRecord;
 
@@ -42,9 +42,9 @@
     public static final ServingTargets NONE = new ServingTargets(Map.of(), Map.of());
 
     private final Map<String, List<ServingTarget>> byService;
-    private final Map<InstanceId, GroupMark> servingHeads;
+    private final Map<InstanceId, GroupMembership> servingHeads;
 
-    private ServingTargets(Map<String, List<ServingTarget>> byService, Map<InstanceId, GroupMark> openHeads) {
+    private ServingTargets(Map<String, List<ServingTarget>> byService, Map<InstanceId, GroupMembership> openHeads) {
         this.byService = byService;
         this.servingHeads = openHeads;
     }
@@ -59,9 +59,9 @@
     public static ServingTargets of(Configuration configuration, Collection<TargetRecord> records) {
         Map<String, Integer> joinedMembers = new HashMap<>();
         Map<String, Set<String>> fabricDomains = new HashMap<>();
-        Map<InstanceId, GroupMark> heads = new HashMap<>();
+        Map<InstanceId, GroupMembership> heads = new HashMap<>();
         for (TargetRecord r : records) {
-            GroupMark m = r.group();
+            GroupMembership m = r.group();
             if (m == null) {
                 continue;
             }
@@ -69,7 +69,7 @@
                 joinedMembers.merge(key(m), 1, Integer::sum);
                 fabricDomains.computeIfAbsent(key(m), k -> new HashSet<>()).add(r.fabricDomain());
             }
-            if (m.rank() == 0 && m.state().holdsMembers() && !r.isOver()) {
+            if (m.rank() == 0 && m.state().reservesMembers() && !r.isOver()) {
                 heads.put(r.instance(), m);
             }
         }
@@ -107,7 +107,7 @@
      * @return false if the head has announced that the group no longer serves
      */
     public boolean isStillServing(ServingTarget target) {
-        return target.group() == null || target.group().sameGroup(servingHeads.get(target.instance()));
+        return target.group() == null || target.group().isSameGroup(servingHeads.get(target.instance()));
     }
 
     /**
@@ -133,7 +133,7 @@
             return new ServingTarget(
                     r.instance(), r.sequence(), r.address(), r.failureDomain(), r.slots(), null, null, 1);
         }
-        GroupMark m = r.group();
+        GroupMembership m = r.group();
         EngineModel model = r.model() == null ? null : spec.model(r.model());
         if (m == null || model == null || m.rank() != 0 || m.state() != GroupState.OPEN) {
             return null;
@@ -141,12 +141,12 @@
         if (joinedMembers.getOrDefault(key(m), 0) != model.size()) {
             return null;
         }
-        double slowness = fabricDomains.get(key(m)).size() > 1 ? spec.farFactor() : 1;
+        double slowness = fabricDomains.get(key(m)).size() > 1 ? spec.crossDomainFactor() : 1;
         return new ServingTarget(
                 r.instance(), r.sequence(), r.address(), r.failureDomain(), spec.slots(), model.name(), m, slowness);
     }
 
-    private static String key(GroupMark m) {
+    private static String key(GroupMembership m) {
         return m.name() + " " + m.epoch();
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/relay/StreamRoom.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/StreamCapacity.java
@@ -19,14 +19,14 @@
 package org.hallwall.serving.relay;
 
 /** Decides whether the groups of a model have capacity for another stream. */
-public final class StreamRoom {
+public final class StreamCapacity {
 
     /** Maximum utilization of the slots for new streams; above it, further streams would wait for a slot. */
     private static final double MAX_UTILIZATION = 0.95;
     /** Maximum utilization of the slots for retried streams. */
     private static final double MAX_RETRY_UTILIZATION = 0.85;
 
-    private StreamRoom() {}
+    private StreamCapacity() {}
 
     /**
      * Returns whether another stream can be admitted.
@@ -36,7 +36,7 @@
      * @param retried whether the stream is retried after a refusal
      * @return true if there is capacity
      */
-    public static boolean holds(double running, double slots, boolean retried) {
+    public static boolean hasCapacity(double running, double slots, boolean retried) {
         return running < slots * (retried ? MAX_RETRY_UTILIZATION : MAX_UTILIZATION);
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/relay/StreamRun.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/StreamRun.java
@@ -189,10 +189,11 @@
     }
 
     private long stallTimeoutMillis(Attempt a) {
-        long pause = request.route().pauseMillis();
+        long pause = request.route().maxEventGapMillis();
         boolean first = eventCount == 0 || pause <= 0;
-        double limit =
-                first ? request.route().objectiveMillis() * FIRST_EVENT_TIMEOUT_FACTOR : pause * PAUSE_TIMEOUT_FACTOR;
+        double limit = first
+                ? request.route().latencyObjectiveMillis() * FIRST_EVENT_TIMEOUT_FACTOR
+                : pause * PAUSE_TIMEOUT_FACTOR;
         double usual = a.state.meanGapMillis() * (first ? FIRST_EVENT_GAPS : PAUSE_GAPS);
         return Math.max(
                 MIN_STALL_TIMEOUT_MILLIS, (long) Math.max(a.state.lateThresholdMillis(), Math.max(limit, usual)));
@@ -277,7 +278,7 @@
             context.metrics().recordFirstByte(firstEventMillis);
             if (attempts.runCount() == 0) {
                 window.recordFirstEvent(
-                        (double) firstEventMillis / request.route().objectiveMillis(), now);
+                        (double) firstEventMillis / request.route().latencyObjectiveMillis(), now);
             }
         } else {
             longestPause = Math.max(longestPause, now - progressAt);
--- a/serving/src/main/java/org/hallwall/serving/relay/TargetClient.java
+++ b/serving/src/main/java/org/hallwall/serving/relay/TargetClient.java
@@ -33,10 +33,10 @@
 import org.hallwall.core.settings.NetAddress;
 import org.hallwall.core.time.Ticker;
 import org.hallwall.core.verdict.Verdict;
-import org.hallwall.serving.availability.NoticeReader;
+import org.hallwall.serving.availability.NoticeParser;
 import org.hallwall.serving.availability.TargetAvailability;
 import org.hallwall.serving.availability.TargetNotice;
-import org.hallwall.serving.target.StartedTarget;
+import org.hallwall.serving.target.TargetIds;
 import org.reactivestreams.Publisher;
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
@@ -67,7 +67,7 @@
     private final HttpClient client;
     private final TcpClient probeClient;
     private final HeaderNames names;
-    private final NoticeReader noticeReader;
+    private final NoticeParser noticeParser;
     private final TargetAvailability availability;
     private final Ticker ticker;
 
@@ -95,7 +95,7 @@
                 .runOn(loops)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS);
         this.names = names;
-        this.noticeReader = new NoticeReader(names.leaving(), names.answeredBy(), names.rateLimit());
+        this.noticeParser = new NoticeParser(names.leaving(), names.answeredBy(), names.rateLimit());
         this.availability = availability;
         this.ticker = ticker;
     }
@@ -145,7 +145,7 @@
                 .uri("http://" + target.address() + request.uri())
                 .send((r, out) -> {
                     // availability may have changed while the request waited for a connection
-                    if (!availability.tryRequest(target.instance())) {
+                    if (!availability.tryAcquireForRequest(target.instance())) {
                         return Mono.error(AttemptFailure.unavailable("the target is no longer available"));
                     }
                     sentAt.set(ticker.millis());
@@ -159,7 +159,7 @@
             ServingTarget target, RelayRequest request, String lastEventId, long remainingMillis) {
         return h -> {
             h.set(request.headers());
-            h.set(names.expectedTarget(), StartedTarget.name(target.instance()));
+            h.set(names.expectedTarget(), TargetIds.name(target.instance()));
             h.set(names.deadlineMillis(), Math.max(1, remainingMillis));
             h.set(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
             if (lastEventId != null) {
@@ -176,13 +176,13 @@
             ByteBufFlux body,
             ResponseReader<T> reader) {
         int status = head.status().code();
-        TargetNotice notice = noticeReader.read(target.instance(), status, head.responseHeaders());
+        TargetNotice notice = noticeParser.parse(target.instance(), status, head.responseHeaders());
         String echoed = head.responseHeaders().get(names.attemptId());
         boolean expected = request.attemptId().equals(echoed) && status != MISDIRECTED;
         if (expected) {
-            availability.takeAnswer(target.instance(), notice, sentAt);
+            availability.applyResponse(target.instance(), notice, sentAt);
         } else {
-            availability.take(target.instance(), notice);
+            availability.applyNotice(target.instance(), notice);
         }
         if (echoed != null && !echoed.equals(request.attemptId())) {
             return Flux.error(new AttemptFailure(Verdict.MAY_HAVE_RUN, "the response belongs to another request"));
--- a/serving/src/main/java/org/hallwall/serving/target/FeedFollower.java
+++ b/serving/src/main/java/org/hallwall/serving/target/FeedFollower.java
@@ -48,7 +48,7 @@
     private final LongSupplier configurationVersion;
     private final LongSupplier suspectsVersion;
     private final Supplier<Map<String, Integer>> streams;
-    private final Consumer<FeedMessage.News> consumer;
+    private final Consumer<FeedMessage.Changes> consumer;
     private String boot = "";
     private long after;
     private long heardAfter;
@@ -75,7 +75,7 @@
             LongSupplier configurationVersion,
             LongSupplier suspectsVersion,
             Supplier<Map<String, Integer>> streams,
-            Consumer<FeedMessage.News> consumer) {
+            Consumer<FeedMessage.Changes> consumer) {
         this.name = name;
         this.link = link;
         this.wantsHeartbeats = wantsHeartbeats;
@@ -95,7 +95,7 @@
      *
      * @return true if it was answered
      */
-    public boolean isInTouch() {
+    public boolean isConnected() {
         return connected;
     }
 
@@ -104,7 +104,7 @@
      *
      * @return true if any has
      */
-    public boolean wasInTouch() {
+    public boolean wasEverConnected() {
         return everConnected;
     }
 
@@ -129,11 +129,12 @@
                 POLL_WAIT_MILLIS,
                 streams.get(),
                 suspectsVersion.getAsLong());
-        current =
-                link.call(poll, ANSWER_TIMEOUT).cast(FeedMessage.News.class).subscribe(this::onAnswer, this::onFailure);
+        current = link.call(poll, ANSWER_TIMEOUT)
+                .cast(FeedMessage.Changes.class)
+                .subscribe(this::onAnswer, this::onFailure);
     }
 
-    private void onAnswer(FeedMessage.News news) {
+    private void onAnswer(FeedMessage.Changes news) {
         if (!connected) {
             LOG.infof("feed: connected to control instance %s, configuration %d", name, news.configurationVersion());
         }
--- a/serving/src/main/java/org/hallwall/serving/target/FeedMessage.java
+++ b/serving/src/main/java/org/hallwall/serving/target/FeedMessage.java
@@ -23,14 +23,14 @@
 
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.settings.NetAddress;
-import org.hallwall.serving.crash.EndedTarget;
+import org.hallwall.serving.crash.CrashedTarget;
 import org.hallwall.serving.crash.RequestDigest;
-import org.hallwall.serving.crash.SuspectNews;
+import org.hallwall.serving.crash.SuspectUpdate;
 import org.hallwall.serving.permit.LimitReport;
-import org.hallwall.serving.permit.PermitAsk;
+import org.hallwall.serving.permit.PermitDemand;
 import org.hallwall.serving.permit.PermitGrant;
-import org.hallwall.wire.PeerKinds;
 import org.hallwall.wire.PeerMessage;
+import org.hallwall.wire.PeerMessageTypes;
 
 /** Messages between entries and control instances. */
 public sealed interface FeedMessage extends PeerMessage {
@@ -38,25 +38,26 @@
     /**
      * Registers the message types.
      *
-     * @param kinds the registry
+     * @param messageTypes the registry
      */
-    static void register(PeerKinds kinds) {
-        kinds.add(60, Poll.class)
-                .add(61, News.class)
-                .add(62, MembersQuestion.class)
-                .add(63, Members.class)
-                .add(64, StalledHead.class)
-                .add(65, JoinRequest.class)
-                .add(66, HeadFinding.class)
-                .add(67, LoadReport.class)
-                .add(68, LoadSums.class)
-                .add(69, SuspectFinding.class)
-                .add(70, CrashReport.class)
-                .add(71, CrashReportTaken.class)
-                .add(72, TrialQuestion.class)
-                .add(73, TrialAnswer.class)
-                .add(74, PermitRequest.class)
-                .add(75, Permits.class);
+    static void register(PeerMessageTypes messageTypes) {
+        messageTypes
+                .register(60, Poll.class)
+                .register(61, Changes.class)
+                .register(62, MembersRequest.class)
+                .register(63, Members.class)
+                .register(64, StalledHead.class)
+                .register(65, JoinRequest.class)
+                .register(66, HeadCheckResult.class)
+                .register(67, LoadReport.class)
+                .register(68, LoadTotals.class)
+                .register(69, SuspectCheckResult.class)
+                .register(70, CrashReport.class)
+                .register(71, CrashReportResult.class)
+                .register(72, TrialRequest.class)
+                .register(73, TrialAnswer.class)
+                .register(74, PermitRequest.class)
+                .register(75, Permits.class);
     }
 
     /**
@@ -96,7 +97,7 @@
      * @param mostEntries the recent maximum number of entries; zero if unknown
      * @param suspects the changes of the suspects, or null if there are none
      */
-    record News(
+    record Changes(
             String boot,
             long next,
             List<TargetRecord> records,
@@ -108,7 +109,7 @@
             List<ControlMember> members,
             int entries,
             int mostEntries,
-            SuspectNews suspects)
+            SuspectUpdate suspects)
             implements FeedMessage {
 
         /**
@@ -122,14 +123,14 @@
          * @param suspectUpdate the changes of the suspects, or null
          * @return the complete answer
          */
-        public News with(
+        public Changes with(
                 long version,
                 byte[] compressed,
                 List<ControlMember> controlMembers,
                 int entryCount,
                 int maxEntryCount,
-                SuspectNews suspectUpdate) {
-            return new News(
+                SuspectUpdate suspectUpdate) {
+            return new Changes(
                     boot,
                     next,
                     records,
@@ -150,7 +151,7 @@
      *
      * @param from the sender
      */
-    record MembersQuestion(InstanceId from) implements FeedMessage {}
+    record MembersRequest(InstanceId from) implements FeedMessage {}
 
     /**
      * Answers with the list of control instances.
@@ -182,16 +183,16 @@
      * @param liveness the result; {@link GroupLiveness#UNKNOWN} from an instance that does not control groups
      * @param suspects the members that did not answer the controller if {@link GroupLiveness#SUSPECTED}, else empty
      */
-    record HeadFinding(String group, GroupLiveness liveness, List<InstanceId> suspects) implements FeedMessage {}
+    record HeadCheckResult(String group, GroupLiveness liveness, List<InstanceId> suspects) implements FeedMessage {}
 
     /**
-     * Reports to the group controller which suspected members an entry reaches; answered by a {@link HeadFinding}.
+     * Reports to the group controller which suspected members an entry reaches; answered by a {@link HeadCheckResult}.
      *
      * @param group the group's name
      * @param reached the members that answered the entry
      * @param silent the members that did not
      */
-    record SuspectFinding(String group, List<InstanceId> reached, List<InstanceId> silent) implements FeedMessage {}
+    record SuspectCheckResult(String group, List<InstanceId> reached, List<InstanceId> silent) implements FeedMessage {}
 
     /**
      * Reports an entry's requests in progress and requests the totals of all entries.
@@ -207,10 +208,10 @@
      * @param running the requests in progress of all entries by target
      * @param limits the rate limits that targets have declared to any entry
      */
-    record LoadSums(boolean controls, Map<String, Integer> running, List<LimitReport> limits) implements FeedMessage {
+    record LoadTotals(boolean controls, Map<String, Integer> running, List<LimitReport> limits) implements FeedMessage {
 
         /** Replaces the missing limits of an earlier version by an empty list. */
-        public LoadSums {
+        public LoadTotals {
             limits = limits == null ? List.of() : limits;
         }
     }
@@ -220,7 +221,7 @@
      *
      * @param asks the requests by target
      */
-    record PermitRequest(List<PermitAsk> asks) implements FeedMessage {}
+    record PermitRequest(List<PermitDemand> asks) implements FeedMessage {}
 
     /**
      * Answers a request for permits.
@@ -236,7 +237,7 @@
      * @param ended the crashed targets
      * @param survived the answered suspects
      */
-    record CrashReport(List<EndedTarget> ended, List<RequestDigest> survived) implements FeedMessage {}
+    record CrashReport(List<CrashedTarget> ended, List<RequestDigest> survived) implements FeedMessage {}
 
     /**
      * Answers a crash report.
@@ -244,14 +245,14 @@
      * @param taken whether the report is committed; if not, the sender retries
      * @param version the version of the suspects that includes the report
      */
-    record CrashReportTaken(boolean taken, long version) implements FeedMessage {}
+    record CrashReportResult(boolean taken, long version) implements FeedMessage {}
 
     /**
      * Requests a trial of a held request.
      *
      * @param digest the request
      */
-    record TrialQuestion(RequestDigest digest) implements FeedMessage {}
+    record TrialRequest(RequestDigest digest) implements FeedMessage {}
 
     /**
      * Answers a request for a trial.
--- a/serving/src/main/java/org/hallwall/serving/target/GroupMark.java
+++ b/serving/src/main/java/org/hallwall/serving/target/GroupMembership.java
@@ -26,7 +26,7 @@
  * @param rank the target's rank in the group; zero is the head
  * @param state the announced state
  */
-public record GroupMark(String name, long epoch, int rank, GroupState state) {
+public record GroupMembership(String name, long epoch, int rank, GroupState state) {
 
     /**
      * Returns whether another membership is in the same group.
@@ -34,7 +34,7 @@
      * @param other the other membership; may be null
      * @return true if name and epoch are equal
      */
-    public boolean sameGroup(GroupMark other) {
+    public boolean isSameGroup(GroupMembership other) {
         return other != null && epoch == other.epoch && name.equals(other.name);
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/target/GroupState.java
+++ b/serving/src/main/java/org/hallwall/serving/target/GroupState.java
@@ -32,11 +32,11 @@
     BROKEN(false, false);
 
     private final boolean joined;
-    private final boolean holdsMembers;
+    private final boolean reservesMembers;
 
     GroupState(boolean joined, boolean holdsMembers) {
         this.joined = joined;
-        this.holdsMembers = holdsMembers;
+        this.reservesMembers = holdsMembers;
     }
 
     /**
@@ -53,7 +53,7 @@
      *
      * @return true if the members must stay in the group
      */
-    public boolean holdsMembers() {
-        return holdsMembers;
+    public boolean reservesMembers() {
+        return reservesMembers;
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/target/LatestStarts.java
+++ b/serving/src/main/java/org/hallwall/serving/target/LatestStarts.java
@@ -30,13 +30,13 @@
 
     /** Returns whether a later start of the same target is known. */
     boolean isSuperseded(InstanceId id) {
-        InstanceId known = latest.get(StartedTarget.name(id));
-        return known != null && StartedTarget.start(known) > StartedTarget.start(id);
+        InstanceId known = latest.get(TargetIds.name(id));
+        return known != null && TargetIds.startMillis(known) > TargetIds.startMillis(id);
     }
 
     /** Records the latest start of a target and returns the earlier one that it replaces, or null. */
     InstanceId update(InstanceId id) {
-        InstanceId previous = latest.put(StartedTarget.name(id), id);
+        InstanceId previous = latest.put(TargetIds.name(id), id);
         return id.equals(previous) ? null : previous;
     }
 
@@ -46,6 +46,6 @@
     }
 
     void remove(InstanceId id) {
-        latest.remove(StartedTarget.name(id), id);
+        latest.remove(TargetIds.name(id), id);
     }
 }
--- a/serving/src/main/java/org/hallwall/serving/target/TargetDirectory.java
+++ b/serving/src/main/java/org/hallwall/serving/target/TargetDirectory.java
@@ -38,7 +38,7 @@
     private static final long SERVING_RETENTION_MILLIS = 86_400_000;
 
     private final Ticker ticker;
-    private final Map<InstanceId, KnownTarget> targets = new HashMap<>();
+    private final Map<InstanceId, AnnouncedTarget> targets = new HashMap<>();
     private final LatestStarts starts = new LatestStarts();
     private volatile Consumer<TargetRecord> listener = r -> {};
 
@@ -65,27 +65,29 @@
      *
      * @param record the record
      */
-    public void take(TargetRecord record) {
+    public void applyRecord(TargetRecord record) {
         synchronized (this) {
-            KnownTarget known = targets.get(record.instance());
+            AnnouncedTarget announced = targets.get(record.instance());
             boolean outdated =
-                    known != null && record.sequence() <= known.record().sequence();
+                    announced != null && record.sequence() <= announced.record().sequence();
             if (outdated || starts.isSuperseded(record.instance())) {
                 return;
             }
             markReplaced(starts.update(record.instance()));
-            String lastModel = known == null ? null : known.lastModel();
+            String lastModel = announced == null ? null : announced.lastModel();
             targets.put(
                     record.instance(),
-                    new KnownTarget(record, record.model() == null ? lastModel : record.model(), ticker.millis()));
+                    new AnnouncedTarget(record, record.model() == null ? lastModel : record.model(), ticker.millis()));
         }
         listener.accept(record);
     }
 
     private void markReplaced(InstanceId earlier) {
-        KnownTarget known = earlier == null ? null : targets.get(earlier);
-        if (known != null) {
-            targets.put(earlier, new KnownTarget(known.record().asReplaced(), known.lastModel(), ticker.millis()));
+        AnnouncedTarget announced = earlier == null ? null : targets.get(earlier);
+        if (announced != null) {
+            targets.put(
+                    earlier,
+                    new AnnouncedTarget(announced.record().asReplaced(), announced.lastModel(), ticker.millis()));
         }
     }
 
@@ -95,7 +97,7 @@
      * @param name the target's name
      * @return its last record, or null
      */
-    public synchronized TargetRecord findNamed(String name) {
+    public synchronized TargetRecord findByName(String name) {
         InstanceId id = starts.get(name);
         return id == null ? null : find(id);
     }
@@ -105,10 +107,10 @@
      *
      * @param instance the target
      */
-    public synchronized void heard(InstanceId instance) {
-        KnownTarget known = targets.get(instance);
-        if (known != null) {
-            targets.put(instance, new KnownTarget(known.record(), known.lastModel(), ticker.millis()));
+    public synchronized void recordHeartbeat(InstanceId instance) {
+        AnnouncedTarget announced = targets.get(instance);
+        if (announced != null) {
+            targets.put(instance, new AnnouncedTarget(announced.record(), announced.lastModel(), ticker.millis()));
         }
     }
 
@@ -119,8 +121,8 @@
      * @return its last record, or null
      */
     public synchronized TargetRecord find(InstanceId instance) {
-        KnownTarget known = targets.get(instance);
-        return known == null ? null : known.record();
+        AnnouncedTarget announced = targets.get(instance);
+        return announced == null ? null : announced.record();
     }
 
     /**
@@ -128,7 +130,7 @@
      *
      * @return the known targets
      */
-    public synchronized Collection<KnownTarget> list() {
+    public synchronized Collection<AnnouncedTarget> list() {
         long now = ticker.millis();
         targets.values().removeIf(k -> {
             boolean expired =
@@ -138,7 +140,7 @@
             }
             return expired;
         });
-        List<KnownTarget> out = new ArrayList<>(targets.values());
+        List<AnnouncedTarget> out = new ArrayList<>(targets.values());
         return out;
     }
 
@@ -149,5 +151,5 @@
      * @param lastModel the last announced model; an engine without a group announces none but still holds it
      * @param heardAt the ticker time of its last record or heartbeat
      */
-    public record KnownTarget(TargetRecord record, String lastModel, long heardAt) {}
+    public record AnnouncedTarget(TargetRecord record, String lastModel, long heardAt) {}
 }
--- a/serving/src/main/java/org/hallwall/serving/target/TargetFeed.java
+++ b/serving/src/main/java/org/hallwall/serving/target/TargetFeed.java
@@ -104,7 +104,7 @@
      * @param instance the target
      * @param known the last record from other feeds, or null
      */
-    public void leave(InstanceId instance, TargetRecord known) {
+    public void recordShutdown(InstanceId instance, TargetRecord known) {
         TargetRecord last;
         synchronized (this) {
             Announcement a = announcements.get(instance);
@@ -120,7 +120,7 @@
      *
      * @param targets all targets that are considered dead now
      */
-    public void markLost(Set<InstanceId> targets) {
+    public void setLost(Set<InstanceId> targets) {
         List<MonoSink<Boolean>> waiters;
         synchronized (this) {
             if (targets.equals(lost)) {
@@ -134,7 +134,7 @@
     }
 
     /** Completes all waiting polls after a change of something other than targets. */
-    public void wake() {
+    public void completeWaiting() {
         List<MonoSink<Boolean>> waiters;
         synchronized (this) {
             waiters = drainWaiting();
@@ -165,7 +165,7 @@
      * @param poll the poll
      * @return the changes and heartbeats
      */
-    public synchronized FeedMessage.News news(FeedMessage.Poll poll) {
+    public synchronized FeedMessage.Changes news(FeedMessage.Poll poll) {
         boolean sameBoot = boot.equals(poll.boot());
         long after = sameBoot ? poll.after() : 0;
         long heardAfter = sameBoot ? poll.heardAfter() : Math.min(poll.heardAfter(), 0);
@@ -180,7 +180,7 @@
             }
         }
         List<InstanceId> dead = lostChange > after ? List.copyOf(lost) : null;
-        return new FeedMessage.News(boot, changes, records, dead, heartbeats, heard, 0, null, List.of(), 0, 0, null);
+        return new FeedMessage.Changes(boot, changes, records, dead, heartbeats, heard, 0, null, List.of(), 0, 0, null);
     }
 
     private synchronized boolean register(
--- a/serving/src/main/java/org/hallwall/serving/target/StartedTarget.java
+++ b/serving/src/main/java/org/hallwall/serving/target/TargetIds.java
@@ -24,12 +24,12 @@
  * Ids that identify one start of a target: its name and start time. A restarted target keeps its name but none of its state, so load,
  * backoff, orders and group membership are tracked by this id.
  */
-public final class StartedTarget {
+public final class TargetIds {
 
     private static final char SEPARATOR = '/';
     private static final int RADIX = 36;
 
-    private StartedTarget() {}
+    private TargetIds() {}
 
     /**
      * Creates an id.
@@ -62,7 +62,7 @@
      * @param id the id
      * @return the start time in milliseconds since the epoch; zero if unknown
      */
-    public static long start(InstanceId id) {
+    public static long startMillis(InstanceId id) {
         int separator = id.value().lastIndexOf(SEPARATOR);
         return separator < 0 ? 0 : Long.parseLong(id.value().substring(separator + 1), RADIX);
     }
--- a/serving/src/main/java/org/hallwall/serving/target/TargetRecord.java
+++ b/serving/src/main/java/org/hallwall/serving/target/TargetRecord.java
@@ -26,7 +26,7 @@
 /**
  * The last announcement of a target.
  *
- * @param instance the target and its start, see {@link StartedTarget}
+ * @param instance the target and its start, see {@link TargetIds}
  * @param sequence the number of the announcement; increases with every announcement
  * @param service the target's service
  * @param address the address for requests and orders
@@ -49,7 +49,7 @@
         String fabricDomain,
         String model,
         List<String> staged,
-        GroupMark group) {
+        GroupMembership group) {
 
     /** Whether a target accepts new requests. */
     public enum Presence {
--- a/serving/src/test/java/org/hallwall/serving/availability/NoticeReaderTest.java
+++ b/serving/src/test/java/org/hallwall/serving/availability/NoticeParserTest.java
@@ -28,17 +28,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Parsing of backoff times, draining and rate limits in responses. */
-class NoticeReaderTest {
+class NoticeParserTest {
 
     private static final InstanceId TARGET = new InstanceId("i-1/k");
-    private final NoticeReader reader = new NoticeReader("X-Leaving", "X-Answered-By", "X-Rate-Limit");
+    private final NoticeParser parser = new NoticeParser("X-Leaving", "X-Answered-By", "X-Rate-Limit");
 
     private TargetNotice read(int status, String... headers) {
         HttpHeaders all = new DefaultHttpHeaders();
         for (int i = 0; i < headers.length; i += 2) {
             all.add(headers[i], headers[i + 1]);
         }
-        return reader.read(TARGET, status, all);
+        return parser.parse(TARGET, status, all);
     }
 
     /** Malformed values request no backoff and are reported. */
--- a/serving/src/test/java/org/hallwall/serving/availability/SimulatedBackoffs.java
+++ b/serving/src/test/java/org/hallwall/serving/availability/SimulatedBackoffs.java
@@ -246,7 +246,7 @@
         }
 
         private void reject(int t) {
-            availability.take(id(t), TargetNotice.backoff(BACKOFF_MILLIS));
+            availability.applyNotice(id(t), TargetNotice.backoff(BACKOFF_MILLIS));
             firstAlone[t] = policy.ordinal() >= Policy.FIRST_ALONE.ordinal();
             if (policy.ordinal() >= Policy.SPREAD.ordinal()) {
                 waitsUntil[t] = now + BACKOFF_MILLIS + random.nextInt(SPREAD_MILLIS_PER_ENTRY * entries.size());
@@ -262,7 +262,7 @@
                     EXCHANGE_MILLIS,
                     () -> entries.stream()
                             .filter(e -> e != this && !e.availability.isBackingOff(id(t)))
-                            .forEach(e -> e.availability.take(id(t), TargetNotice.backoff(until - now))));
+                            .forEach(e -> e.availability.applyNotice(id(t), TargetNotice.backoff(until - now))));
         }
 
         private InstanceId id(int t) {
--- a/serving/src/test/java/org/hallwall/serving/availability/TargetAvailabilityTest.java
+++ b/serving/src/test/java/org/hallwall/serving/availability/TargetAvailabilityTest.java
@@ -36,7 +36,7 @@
     private final TargetAvailability availability = new TargetAvailability(() -> now, RateLimiter.UNLIMITED);
 
     private void backOff(long millis) {
-        availability.take(TARGET, TargetNotice.backoff(millis));
+        availability.applyNotice(TARGET, TargetNotice.backoff(millis));
     }
 
     @Test
@@ -69,7 +69,7 @@
 
     @Test
     void drainingIsFinal() {
-        availability.take(TARGET, DRAINING);
+        availability.applyNotice(TARGET, DRAINING);
         backOff(10);
         now += 86_400_000;
         Assertions.assertFalse(availability.isAvailable(TARGET));
@@ -78,7 +78,7 @@
 
     @Test
     void otherStartsAreNotAffected() {
-        availability.take(TARGET, DRAINING);
+        availability.applyNotice(TARGET, DRAINING);
         backOff(10_000);
         Assertions.assertTrue(availability.isAvailable(NEXT_START));
         Assertions.assertFalse(availability.isBackingOff(NEXT_START));
@@ -88,27 +88,27 @@
     @Test
     void laterResponseWithoutNoticeDoesNotEndTheBackoff() {
         backOff(1_000);
-        availability.take(TARGET, TargetNotice.NONE);
+        availability.applyNotice(TARGET, TargetNotice.NONE);
         Assertions.assertFalse(availability.isAvailable(TARGET));
     }
 
     @Test
     void stateIsBounded() {
         for (int i = 0; i < 10_000; i++) {
-            availability.take(new InstanceId("i-" + i), DRAINING);
+            availability.applyNotice(new InstanceId("i-" + i), DRAINING);
         }
-        Assertions.assertEquals(4_096, availability.draining());
+        Assertions.assertEquals(4_096, availability.drainingCount());
     }
 
     @Test
     void unavailableTargetsAreDescribed() {
-        availability.take(NEXT_START, DRAINING);
+        availability.applyNotice(NEXT_START, DRAINING);
         backOff(2_000);
-        availability.take(TARGET, new TargetNotice(0, false, null, "soon"));
+        availability.applyNotice(TARGET, new TargetNotice(0, false, null, "soon"));
         Assertions.assertEquals(
                 "{i-1/a=backing off for 2001 ms, i-1/b=draining}",
-                availability.unavailable().toString());
-        Assertions.assertEquals(1, availability.backingOff());
-        Assertions.assertEquals(1, availability.unread());
+                availability.describeUnavailable().toString());
+        Assertions.assertEquals(1, availability.backingOffCount());
+        Assertions.assertEquals(1, availability.malformedNotices());
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/config/RouteTableTest.java
+++ b/serving/src/test/java/org/hallwall/serving/config/RouteTableTest.java
@@ -58,14 +58,14 @@
         RouteTable table = new RouteTable(configuration(
                 List.of(route("short", "a.example", "/x/", 1, 1), route("long", "a.example", "/x/y/", 1, 1)),
                 List.of()));
-        Route found = table.route(host, path);
+        Route found = table.findRoute(host, path);
         Assertions.assertEquals(expected, found == null ? null : found.name());
     }
 
     @ParameterizedTest
     @CsvSource({"0.0, s0", "0.89, s0", "0.91, s1", "0.999, s1"})
     void servicesAreSelectedByWeight(double draw, String expected) {
-        Assertions.assertEquals(expected, route("r", "h", "/", 1, 90, 10).service(draw));
+        Assertions.assertEquals(expected, route("r", "h", "/", 1, 90, 10).selectService(draw));
     }
 
     @Test
@@ -73,7 +73,7 @@
         List<WorkspaceKeys> shared =
                 List.of(new WorkspaceKeys("a", List.of("k"), null), new WorkspaceKeys("b", List.of("k"), null));
         Assertions.assertThrows(
-                ConfigurationException.class, () -> ConfigurationCheck.check(configuration(List.of(), shared)));
+                ConfigurationException.class, () -> ConfigurationValidator.validate(configuration(List.of(), shared)));
     }
 
     @ParameterizedTest
@@ -81,12 +81,12 @@
     void invalidRoutesAreRejected(long timeout, int weight, String first, String second) {
         Configuration bad = configuration(
                 List.of(route("r", "h", first, timeout, weight), route("q", "h", second, 1, 1)), List.of());
-        Assertions.assertThrows(ConfigurationException.class, () -> ConfigurationCheck.check(bad));
+        Assertions.assertThrows(ConfigurationException.class, () -> ConfigurationValidator.validate(bad));
     }
 
     @Test
     void anUnknownServiceIsRejected() {
         Configuration bad = configuration(List.of(route("r", "h", "/", 1, 1, 1, 1)), List.of());
-        Assertions.assertThrows(ConfigurationException.class, () -> ConfigurationCheck.check(bad));
+        Assertions.assertThrows(ConfigurationException.class, () -> ConfigurationValidator.validate(bad));
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/control/ConfigurationStateMachineTest.java
+++ b/serving/src/test/java/org/hallwall/serving/control/ConfigurationStateMachineTest.java
@@ -29,7 +29,7 @@
 class ConfigurationStateMachineTest {
 
     private static byte[] command(long version, String text) {
-        return ConfigurationStateMachine.command(version, PackedBytes.pack(text.getBytes(StandardCharsets.UTF_8)));
+        return ConfigurationStateMachine.command(version, Gzip.compress(text.getBytes(StandardCharsets.UTF_8)));
     }
 
     @ParameterizedTest
@@ -59,6 +59,6 @@
     }
 
     private static String text(ConfigurationStateMachine machine) throws Exception {
-        return new String(PackedBytes.unpack(machine.current().compressed()), StandardCharsets.UTF_8);
+        return new String(Gzip.decompress(machine.current().compressed()), StandardCharsets.UTF_8);
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/control/ControlFixture.java
+++ b/serving/src/test/java/org/hallwall/serving/control/ControlFixture.java
@@ -39,9 +39,9 @@
 import org.hallwall.serving.decision.Mechanisms;
 import org.hallwall.serving.group.ControllerTiming;
 import org.hallwall.serving.group.TargetGateway;
-import org.hallwall.serving.permit.PermitLedger;
+import org.hallwall.serving.permit.PermitAllocator;
 import org.hallwall.serving.target.FeedMessage.ControlMember;
-import org.hallwall.serving.target.GroupMark;
+import org.hallwall.serving.target.GroupMembership;
 import org.hallwall.serving.target.TargetRecord;
 
 /** A single control instance that leads, a weight store with two concurrent loads, and engines that exist as announcements only. */
@@ -73,11 +73,12 @@
                         new ControllerTiming(HEARTBEAT_MILLIS, 1_000, false, 0),
                         Mechanisms.ALL),
                 bytes -> configuration,
-                new PermitLedger(Ticker.SYSTEM, 0));
+                new PermitAllocator(Ticker.SYSTEM, 0));
         node.start(gateway);
         Awaitility.await()
                 .atMost(TIMEOUT)
-                .until(() -> node.service().put(new byte[] {1}).block(TIMEOUT) instanceof ConfigurationReply.Accepted);
+                .until(() -> node.configurationService().put(new byte[] {1}).block(TIMEOUT)
+                        instanceof ConfigurationReply.Accepted);
     }
 
     private static int freePort() throws IOException {
@@ -86,7 +87,7 @@
         }
     }
 
-    void announce(int n, long sequence, String model, List<String> staged, GroupMark mark) {
+    void announce(int n, long sequence, String model, List<String> staged, GroupMembership membership) {
         node.announce(new TargetRecord(
                 new InstanceId("i-" + n),
                 sequence,
@@ -98,7 +99,7 @@
                 "d0",
                 model,
                 staged,
-                mark));
+                membership));
     }
 
     @Override
--- a/serving/src/test/java/org/hallwall/serving/control/ControlMembersTest.java
+++ b/serving/src/test/java/org/hallwall/serving/control/ControlMembersTest.java
@@ -48,7 +48,7 @@
         members.initialize(seeds);
         Assertions.assertEquals(seeds, members.load());
         try (LogStore store = LogStore.open(folder)) {
-            Assertions.assertTrue(store.stored().folder().admitted());
+            Assertions.assertTrue(store.recoveredState().folder().admitted());
         }
     }
 
--- a/serving/src/test/java/org/hallwall/serving/control/ControlNodeTest.java
+++ b/serving/src/test/java/org/hallwall/serving/control/ControlNodeTest.java
@@ -41,7 +41,7 @@
 import org.hallwall.serving.group.OrderOutcome;
 import org.hallwall.serving.group.TargetGateway;
 import org.hallwall.serving.group.TargetOrder;
-import org.hallwall.serving.permit.PermitLedger;
+import org.hallwall.serving.permit.PermitAllocator;
 import org.hallwall.serving.target.FeedMessage;
 import org.hallwall.serving.target.FeedMessage.ControlMember;
 import org.hallwall.serving.target.TargetRecord;
@@ -65,12 +65,12 @@
 
     private static final TargetGateway NO_TARGETS = new TargetGateway() {
         @Override
-        public Mono<OrderOutcome> order(TargetRecord t, TargetOrder o, long token, Duration timeout) {
+        public Mono<OrderOutcome> sendOrder(TargetRecord t, TargetOrder o, long token, Duration timeout) {
             return Mono.just(OrderOutcome.UNKNOWN);
         }
 
         @Override
-        public Mono<Boolean> answers(TargetRecord target, Duration timeout) {
+        public Mono<Boolean> probe(TargetRecord target, Duration timeout) {
             return Mono.just(false);
         }
     };
@@ -119,7 +119,7 @@
                 disksLost,
                 new ControllerTiming(1_000, 1_000, firstStart, 0),
                 Mechanisms.ALL);
-        ControlNode node = new ControlNode(settings, ControlNodeTest::read, new PermitLedger(Ticker.SYSTEM, 0));
+        ControlNode node = new ControlNode(settings, ControlNodeTest::read, new PermitAllocator(Ticker.SYSTEM, 0));
         node.start(NO_TARGETS);
         nodes.put(n, node);
     }
@@ -139,7 +139,7 @@
     }
 
     private ConfigurationReply put(ControlNode node, String text) {
-        ConfigurationService s = node.service();
+        ConfigurationService s = node.configurationService();
         return s == null ? null : s.put(text.getBytes(StandardCharsets.UTF_8)).block(TIMEOUT);
     }
 
@@ -153,8 +153,9 @@
 
     private String readBack() {
         for (ControlNode n : nodes.values()) {
-            ConfigurationReply r =
-                    n.service() == null ? null : n.service().get().block(TIMEOUT);
+            ConfigurationReply r = n.configurationService() == null
+                    ? null
+                    : n.configurationService().get().block(TIMEOUT);
             if (r instanceof ConfigurationReply.Content c) {
                 return new String(c.bytes(), StandardCharsets.UTF_8);
             }
@@ -175,7 +176,7 @@
         Awaitility.await()
                 .atMost(TIMEOUT)
                 .until(() -> nodes.values().stream()
-                                .filter(n -> put(n, "6 six") instanceof ConfigurationReply.Elsewhere)
+                                .filter(n -> put(n, "6 six") instanceof ConfigurationReply.Redirect)
                                 .count()
                         == 2);
         awaitReadBack("6 six");
@@ -295,10 +296,10 @@
     }
 
     private Map<String, Integer> report(String entry, int n, Map<String, Integer> running) {
-        PeerCodec codec = new PeerCodec(ControlNode.kinds());
+        PeerCodec codec = new PeerCodec(ControlNode.messageTypes());
         try (PeerLink link = new PeerLink(member(n).peer(), "test", new InstanceId(entry), codec)) {
             Awaitility.await().atMost(TIMEOUT).until(link::isUp);
-            FeedMessage.LoadSums sums = (FeedMessage.LoadSums)
+            FeedMessage.LoadTotals sums = (FeedMessage.LoadTotals)
                     link.call(new FeedMessage.LoadReport(running), TIMEOUT).block(TIMEOUT);
             return sums.controls() ? sums.running() : Map.of();
         }
@@ -308,6 +309,6 @@
     void anInstanceThatIsNoVoterHasNoService() throws IOException {
         accept("7 seven");
         open(4, "disk", false);
-        Assertions.assertNull(nodes.get(4).isMember() ? null : nodes.get(4).service());
+        Assertions.assertNull(nodes.get(4).isMember() ? null : nodes.get(4).configurationService());
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/control/ControlStateMachineTest.java
+++ b/serving/src/test/java/org/hallwall/serving/control/ControlStateMachineTest.java
@@ -25,7 +25,7 @@
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.serving.crash.CrashCommand;
 import org.hallwall.serving.crash.CrashLedger;
-import org.hallwall.serving.crash.EndedTarget;
+import org.hallwall.serving.crash.CrashedTarget;
 import org.hallwall.serving.crash.RequestDigest;
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.BeforeEach;
@@ -50,8 +50,8 @@
 
     private void holdBackRequest() {
         for (int i = 0; i < 3; i++) {
-            EndedTarget e = new EndedTarget(new InstanceId("t-" + i), List.of(new RequestDigest("d")));
-            machine.apply(i + 1, ControlStateMachine.command(CrashCommand.seen(1, List.of(e), List.of())));
+            CrashedTarget e = new CrashedTarget(new InstanceId("t-" + i), List.of(new RequestDigest("d")));
+            machine.apply(i + 1, ControlStateMachine.command(CrashCommand.report(1, List.of(e), List.of())));
         }
     }
 
@@ -101,8 +101,8 @@
         holdBackRequest();
         int before = notifications.get();
         machine.apply(4, ConfigurationStateMachine.command(7, COMPRESSED));
-        EndedTarget known = new EndedTarget(new InstanceId("t-1"), List.of(new RequestDigest("d")));
-        machine.apply(5, ControlStateMachine.command(CrashCommand.seen(1, List.of(known), List.of())));
+        CrashedTarget known = new CrashedTarget(new InstanceId("t-1"), List.of(new RequestDigest("d")));
+        machine.apply(5, ControlStateMachine.command(CrashCommand.report(1, List.of(known), List.of())));
         Assertions.assertEquals(before, notifications.get());
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/control/RepeatedOrderTest.java
+++ b/serving/src/test/java/org/hallwall/serving/control/RepeatedOrderTest.java
@@ -30,7 +30,7 @@
 import org.hallwall.serving.group.OrderOutcome;
 import org.hallwall.serving.group.TargetGateway;
 import org.hallwall.serving.group.TargetOrder;
-import org.hallwall.serving.target.GroupMark;
+import org.hallwall.serving.target.GroupMembership;
 import org.hallwall.serving.target.GroupState;
 import org.hallwall.serving.target.TargetRecord;
 import org.junit.jupiter.api.Assertions;
@@ -50,13 +50,13 @@
     private final Queue<TargetOrder> sentOrders = new ConcurrentLinkedQueue<>();
     private final TargetGateway gateway = new TargetGateway() {
         @Override
-        public Mono<OrderOutcome> order(TargetRecord t, TargetOrder o, long token, Duration timeout) {
+        public Mono<OrderOutcome> sendOrder(TargetRecord t, TargetOrder o, long token, Duration timeout) {
             sentOrders.add(o);
             return Mono.just(OrderOutcome.TAKEN);
         }
 
         @Override
-        public Mono<Boolean> answers(TargetRecord t, Duration timeout) {
+        public Mono<Boolean> probe(TargetRecord t, Duration timeout) {
             return Mono.just(true);
         }
     };
@@ -66,7 +66,7 @@
         List<EngineModel> models =
                 List.of(new EngineModel("one", 1, 0.5, 1, 16, 1.6), new EngineModel("two", 1, 0.5, 1, 16, 1.6));
         try (ControlFixture control = new ControlFixture(folder, models, gateway)) {
-            control.announce(1, 1, "one", List.of("one"), new GroupMark("g1", 1, 0, GroupState.READY));
+            control.announce(1, 1, "one", List.of("one"), new GroupMembership("g1", 1, 0, GroupState.READY));
             Awaitility.await()
                     .atMost(ControlFixture.TIMEOUT)
                     .until(() -> wasSent(TargetOrder.Open.class) && wasSent(TargetOrder.Stage.class));
--- a/serving/src/test/java/org/hallwall/serving/control/SuspendedLeaderTest.java
+++ b/serving/src/test/java/org/hallwall/serving/control/SuspendedLeaderTest.java
@@ -32,10 +32,10 @@
 import org.hallwall.core.time.Ticker;
 import org.hallwall.log.LogMessage;
 import org.hallwall.log.LogRole;
-import org.hallwall.log.LogSeat;
 import org.hallwall.log.LogStore;
 import org.hallwall.log.LogTiming;
 import org.hallwall.log.LogVoter;
+import org.hallwall.log.LogVoterConfig;
 import org.hallwall.serving.config.CallerLimits;
 import org.hallwall.serving.config.Configuration;
 import org.junit.jupiter.api.AfterEach;
@@ -120,7 +120,7 @@
         first.suspended = false;
         Awaitility.await()
                 .atMost(TIMEOUT_SECONDS, TimeUnit.SECONDS)
-                .until(() -> first.service.get().block() instanceof ConfigurationReply.Elsewhere);
+                .until(() -> first.service.get().block() instanceof ConfigurationReply.Redirect);
         Assertions.assertEquals(2, versionOf(leaderAmong(others).service.get().block()));
     }
 
@@ -135,7 +135,7 @@
             LogStore.form(disk);
             ConfigurationStateMachine machine = new ConfigurationStateMachine(() -> {});
             voter = new LogVoter(
-                    new LogSeat(id, ids, LogTiming.DEFAULT),
+                    new LogVoterConfig(id, ids, LogTiming.DEFAULT),
                     LogStore.open(disk),
                     machine,
                     this::send,
--- a/serving/src/test/java/org/hallwall/serving/control/UnansweredOrderTest.java
+++ b/serving/src/test/java/org/hallwall/serving/control/UnansweredOrderTest.java
@@ -54,14 +54,14 @@
     private final Queue<InstanceId> unanswered = new ConcurrentLinkedQueue<>();
     private final TargetGateway gateway = new TargetGateway() {
         @Override
-        public Mono<OrderOutcome> order(TargetRecord t, TargetOrder o, long token, Duration timeout) {
+        public Mono<OrderOutcome> sendOrder(TargetRecord t, TargetOrder o, long token, Duration timeout) {
             boolean dead = DEAD.contains(t.instance());
             (dead ? unanswered : accepted).add(t.instance());
             return Mono.just(dead ? OrderOutcome.UNKNOWN : OrderOutcome.TAKEN);
         }
 
         @Override
-        public Mono<Boolean> answers(TargetRecord t, Duration timeout) {
+        public Mono<Boolean> probe(TargetRecord t, Duration timeout) {
             return Mono.just(!DEAD.contains(t.instance()));
         }
     };
--- a/serving/src/test/java/org/hallwall/serving/crash/CrashLedgerTest.java
+++ b/serving/src/test/java/org/hallwall/serving/crash/CrashLedgerTest.java
@@ -46,12 +46,12 @@
     }
 
     private void crash(String target, long at, RequestDigest... running) {
-        EndedTarget e = new EndedTarget(new InstanceId(target), Arrays.asList(running));
-        ledger.apply(CrashCommand.seen(at, List.of(e), List.of()));
+        CrashedTarget e = new CrashedTarget(new InstanceId(target), Arrays.asList(running));
+        ledger.apply(CrashCommand.report(at, List.of(e), List.of()));
     }
 
     private void survived(RequestDigest digest) {
-        ledger.apply(CrashCommand.seen(START, List.of(), List.of(digest)));
+        ledger.apply(CrashCommand.report(START, List.of(), List.of(digest)));
     }
 
     private boolean isHeld(RequestDigest digest) {
@@ -169,7 +169,7 @@
             crash(START + i, new RequestDigest("varied-" + i));
         }
         Assertions.assertEquals(
-                CrashLedger.MAX_SUSPECTS, ledger.news(0).changed().size());
+                CrashLedger.MAX_SUSPECTS, ledger.changesSince(0).changed().size());
         Assertions.assertTrue(isHeld(CRASHING));
     }
 
@@ -202,9 +202,9 @@
         ledger.apply(CrashCommand.key(START, new byte[RequestDigester.KEY_BYTES]));
         holdCrashing();
         crash(START, OTHER);
-        SuspectNews before = ledger.news(0);
+        SuspectUpdate before = ledger.changesSince(0);
         restart();
-        SuspectNews after = ledger.news(0);
+        SuspectUpdate after = ledger.changesSince(0);
         Assertions.assertEquals(before.version(), after.version());
         Assertions.assertEquals(
                 List.copyOf(before.changed()).size(), after.changed().size());
@@ -220,8 +220,8 @@
 
     @Test
     void commandsAreDecodedAsEncoded() {
-        CrashCommand c = CrashCommand.seen(
-                START, List.of(new EndedTarget(new InstanceId("t/1"), List.of(CRASHING, OTHER))), List.of(OTHER));
+        CrashCommand c = CrashCommand.report(
+                START, List.of(new CrashedTarget(new InstanceId("t/1"), List.of(CRASHING, OTHER))), List.of(OTHER));
         Assertions.assertEquals(c, CrashCommand.read(c.bytes()));
     }
 
@@ -249,13 +249,13 @@
         for (RequestDigest d : all) {
             Assertions.assertEquals(isHeld(d), entry.isHeld(d, java.util.Set.of()), d.value());
         }
-        Assertions.assertEquals(ledger.news(0).changed().size(), entry.size());
+        Assertions.assertEquals(ledger.changesSince(0).changed().size(), entry.size());
     }
 
     private void poll(SuspectView entry) {
-        SuspectNews news = ledger.news(entry.version());
-        if (news != null) {
-            entry.applyUpdate(news, 0);
+        SuspectUpdate update = ledger.changesSince(entry.version());
+        if (update != null) {
+            entry.applyUpdate(update, 0);
         }
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/crash/CrashSimulationRuns.java
+++ b/serving/src/test/java/org/hallwall/serving/crash/CrashSimulationRuns.java
@@ -22,7 +22,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-import org.hallwall.serving.crash.CrashSimulationTest.Disturbance;
+import org.hallwall.serving.crash.CrashSimulationTest.FaultScenario;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -46,7 +46,7 @@
         "crashing-late, 3, DOMAIN_ENDS",
         "crashing-late, 3, DOMAIN_CUT_OFF"
     })
-    void days(String name, int crashing, Disturbance disturbance) {
+    void days(String name, int crashing, FaultScenario scenario) {
         int harmless = 0;
         int harmlessHeld = 0;
         long slowest = 0;
@@ -54,7 +54,7 @@
         int lateSends = 0;
         int days = Integer.getInteger("crash.days", 5);
         for (int day = 0; day < days; day++) {
-            SimulatedCrashes s = day(name, crashing, disturbance, Integer.getInteger("crash.seed", 1_000) + day);
+            SimulatedCrashes s = day(name, crashing, scenario, Integer.getInteger("crash.seed", 1_000) + day);
             harmless += s.harmless();
             harmlessHeld += s.harmlessHeld();
             slowest = Math.max(slowest, s.maxDetectionMillis());
@@ -66,10 +66,10 @@
         System.out.printf(
                 "%d days, %d of %s, %s: %d of %d harmless requests held back, held by all entries within %d ms, "
                         + "crashes per request and their frequency %s, sent at most %d times later than 3 s after the third crash%n",
-                days, crashing, name, disturbance, harmlessHeld, harmless, slowest, crashes, lateSends);
+                days, crashing, name, scenario, harmlessHeld, harmless, slowest, crashes, lateSends);
     }
 
-    private static SimulatedCrashes day(String name, int crashing, Disturbance disturbance, long seed) {
+    private static SimulatedCrashes day(String name, int crashing, FaultScenario scenario, long seed) {
         int perSecond = Integer.getInteger("crash.perSecond", 120);
         SimulatedCrashes s = new SimulatedCrashes(
                 Integer.getInteger("crash.entries", 9), Integer.getInteger("crash.targets", 15), seed);
@@ -79,7 +79,7 @@
             s.run(1, perSecond, 0.3, 5);
         }
         for (int i = 0; i < SECONDS / 5; i++) {
-            disturbance.apply(s);
+            scenario.apply(s);
             s.run(5, perSecond, 0.3, 5);
         }
         return s;
--- a/serving/src/test/java/org/hallwall/serving/crash/CrashSimulationTest.java
+++ b/serving/src/test/java/org/hallwall/serving/crash/CrashSimulationTest.java
@@ -38,7 +38,7 @@
     private static final long MAX_DETECTION_MILLIS = 3_000;
 
     /** Other faults during a run. */
-    enum Disturbance {
+    enum FaultScenario {
         NOTHING(s -> {}),
         ENTRIES_RESTART(SimulatedCrashes::restartEntries),
         RACK_ENDS(s -> s.crashSome(0.1)),
@@ -48,7 +48,7 @@
 
         private final Consumer<SimulatedCrashes> action;
 
-        Disturbance(Consumer<SimulatedCrashes> action) {
+        FaultScenario(Consumer<SimulatedCrashes> action) {
             this.action = action;
         }
 
@@ -80,17 +80,17 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Disturbance.class)
-    void onlyCrashingRequestsAreHeldDuringOtherFaults(Disturbance disturbance) {
+    @EnumSource(FaultScenario.class)
+    void onlyCrashingRequestsAreHeldDuringOtherFaults(FaultScenario scenario) {
         SimulatedCrashes s = new SimulatedCrashes(9, 15, 11);
         s.run(3, 120, 0.3, 5);
-        disturbance.apply(s);
+        scenario.apply(s);
         s.sendPeriodically("crashing-0", 700);
         for (int i = 0; i < SECONDS / 5; i++) {
             s.run(5, 120, 0.3, 5);
-            disturbance.apply(s);
+            scenario.apply(s);
         }
-        check(s, disturbance.name());
+        check(s, scenario.name());
     }
 
     /** A target that crashes 0.4 s after the entry has abandoned the request, so that the entry sees no connection break. */
--- a/serving/src/test/java/org/hallwall/serving/crash/RequestDigesterTest.java
+++ b/serving/src/test/java/org/hallwall/serving/crash/RequestDigesterTest.java
@@ -34,7 +34,7 @@
     private final RequestDigester digester = new RequestDigester(KEY);
 
     private RequestDigest digest(String workspace, String host, String method, String uri, String body) {
-        return digester.of(workspace, host, method, uri, body.getBytes(StandardCharsets.UTF_8));
+        return digester.digest(workspace, host, method, uri, body.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
@@ -70,7 +70,8 @@
         Arrays.fill(other, (byte) 7);
         byte[] body = "x".getBytes(StandardCharsets.UTF_8);
         Assertions.assertNotEquals(
-                digester.of("w", "h", "POST", "/a", body), new RequestDigester(other).of("w", "h", "POST", "/a", body));
+                digester.digest("w", "h", "POST", "/a", body),
+                new RequestDigester(other).digest("w", "h", "POST", "/a", body));
     }
 
     @Test
--- a/serving/src/test/java/org/hallwall/serving/crash/SimulatedCrashes.java
+++ b/serving/src/test/java/org/hallwall/serving/crash/SimulatedCrashes.java
@@ -118,7 +118,7 @@
         for (int i = 0; i < entries.size(); i++) {
             Entry e = new Entry();
             // an entry accepts callers only after it has received the suspects
-            e.watch.take(ledger.news(0));
+            e.watch.applyUpdate(ledger.changesSince(0));
             e.recordHeld();
             entries.set(i, e);
         }
@@ -215,9 +215,9 @@
     private void publish() {
         for (Entry e : entries) {
             at(NETWORK_DELAY_MILLIS + random.nextInt(NETWORK_DELAY_MILLIS * 2), () -> {
-                SuspectNews news = hasLeader && !e.cutOff ? ledger.news(e.watch.version()) : null;
-                if (news != null) {
-                    e.watch.take(news);
+                SuspectUpdate update = hasLeader && !e.cutOff ? ledger.changesSince(e.watch.version()) : null;
+                if (update != null) {
+                    e.watch.applyUpdate(update);
                     e.recordHeld();
                 }
             });
@@ -261,7 +261,7 @@
         }
 
         void answered() {
-            entry.watch.survived(digest);
+            entry.watch.recordAnswer(digest);
         }
 
         void refused() {
@@ -269,13 +269,13 @@
         }
 
         void abandoned(InstanceId start) {
-            entry.watch.left(start, digest);
+            entry.watch.recordAbandoned(start, digest);
             retry();
         }
 
         void disconnected(InstanceId start) {
             brokenOffBy.add(start);
-            entry.watch.cut(start, digest);
+            entry.watch.recordDisconnect(start, digest);
             retry();
         }
 
@@ -371,39 +371,41 @@
         }
 
         @Override
-        public Mono<Boolean> answers(InstanceId target) {
+        public Mono<Boolean> isResponding(InstanceId target) {
             return later(
                     NETWORK_DELAY_MILLIS * 2,
                     () -> targets.stream().anyMatch(t -> t.up && t.start().equals(target)));
         }
 
         @Override
-        public Mono<Boolean> refuses(InstanceId target) {
+        public Mono<Boolean> refusesConnections(InstanceId target) {
             return later(
                     NETWORK_DELAY_MILLIS * 2,
                     () -> targets.stream().anyMatch(t -> !t.up && t.start().equals(target)));
         }
 
         @Override
-        public boolean hasStartedAgain(InstanceId target) {
+        public boolean hasRestarted(InstanceId target) {
             return false;
         }
 
         @Override
-        public Mono<Long> report(List<EndedTarget> ended, List<RequestDigest> survived) {
+        public Mono<Long> report(List<CrashedTarget> ended, List<RequestDigest> survived) {
             return later(NETWORK_DELAY_MILLIS + COMMIT_MILLIS, () -> {
                 if (!hasLeader || cutOff) {
                     return null;
                 }
-                ledger.apply(CrashCommand.seen(now, ended, survived));
+                ledger.apply(CrashCommand.report(now, ended, survived));
                 publish();
                 return ledger.version();
             });
         }
 
         @Override
-        public Mono<Trial> mayTry(RequestDigest digest) {
-            return cutOff ? Mono.empty() : Mono.just(new Trial(ledger.apply(CrashCommand.trial(now, digest)), 10_000));
+        public Mono<TrialDecision> requestTrial(RequestDigest digest) {
+            return cutOff
+                    ? Mono.empty()
+                    : Mono.just(new TrialDecision(ledger.apply(CrashCommand.trial(now, digest)), 10_000));
         }
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/group/EngineFixture.java
+++ b/serving/src/test/java/org/hallwall/serving/group/EngineFixture.java
@@ -22,7 +22,7 @@
 
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.settings.NetAddress;
-import org.hallwall.serving.target.GroupMark;
+import org.hallwall.serving.target.GroupMembership;
 import org.hallwall.serving.target.TargetRecord;
 
 /** Creates engines for the tests of the planners. */
@@ -39,11 +39,11 @@
      * @param domain its fabric domain
      * @param model the model in the engine, or null
      * @param staged the model staged on its host, or null
-     * @param mark its group, or null
+     * @param membership its group, or null
      * @return the engine
      */
-    static Engine engine(String id, String domain, String model, String staged, GroupMark mark) {
-        return engine(id, domain, model, staged, mark, TargetRecord.Presence.SERVING, false);
+    static Engine engine(String id, String domain, String model, String staged, GroupMembership membership) {
+        return engine(id, domain, model, staged, membership, TargetRecord.Presence.SERVING, false);
     }
 
     /**
@@ -53,7 +53,7 @@
      * @param domain its fabric domain
      * @param model the model in the engine, or null
      * @param staged the model staged on its host, or null
-     * @param mark its group, or null
+     * @param membership its group, or null
      * @param presence its announced presence
      * @param lost whether it is considered dead
      * @return the engine
@@ -63,7 +63,7 @@
             String domain,
             String model,
             String staged,
-            GroupMark mark,
+            GroupMembership membership,
             TargetRecord.Presence presence,
             boolean lost) {
         TargetRecord r = new TargetRecord(
@@ -77,7 +77,7 @@
                 domain,
                 model,
                 staged == null ? List.of() : List.of(staged),
-                mark);
+                membership);
         return new Engine(r, model, lost, false);
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/group/GroupPlanTest.java
+++ b/serving/src/test/java/org/hallwall/serving/group/GroupPlanTest.java
@@ -27,7 +27,7 @@
 import org.hallwall.serving.config.EngineModel;
 import org.hallwall.serving.config.EngineSpec;
 import org.hallwall.serving.decision.Mechanisms;
-import org.hallwall.serving.target.GroupMark;
+import org.hallwall.serving.target.GroupMembership;
 import org.hallwall.serving.target.GroupState;
 import org.hallwall.serving.target.TargetRecord;
 import org.junit.jupiter.api.Assertions;
@@ -47,18 +47,19 @@
     private GroupPlan plan = new GroupPlan(1, Mechanisms.ALL);
     private long now = 10_000;
 
-    private void engine(int n, GroupMark mark, TargetRecord.Presence presence, boolean lost) {
-        engine(n, "d0", mark, presence, lost);
+    private void engine(int n, GroupMembership membership, TargetRecord.Presence presence, boolean lost) {
+        engine(n, "d0", membership, presence, lost);
     }
 
-    private void engine(int n, String domain, GroupMark mark, TargetRecord.Presence presence, boolean lost) {
-        String model = mark == null ? null : "m";
-        Engine e = EngineFixture.engine("i-" + n, domain, model, "m", mark, presence, lost);
+    private void engine(
+            int n, String domain, GroupMembership membership, TargetRecord.Presence presence, boolean lost) {
+        String model = membership == null ? null : "m";
+        Engine e = EngineFixture.engine("i-" + n, domain, model, "m", membership, presence, lost);
         engines.put(e.id(), e);
     }
 
-    private void engine(int n, GroupMark mark) {
-        engine(n, mark, TargetRecord.Presence.SERVING, false);
+    private void engine(int n, GroupMembership membership) {
+        engine(n, membership, TargetRecord.Presence.SERVING, false);
     }
 
     private List<GroupAction> step() {
@@ -85,7 +86,7 @@
         for (int rank = 0; rank < 3; rank++) {
             int n = Integer.parseInt(g.members().get(rank).value().substring(2));
             GroupState state = rank == 0 ? head : GroupState.READY;
-            engine(n, new GroupMark(g.name(), g.epoch(), rank, state));
+            engine(n, new GroupMembership(g.name(), g.epoch(), rank, state));
         }
     }
 
@@ -98,7 +99,7 @@
     }
 
     private int freeCount() {
-        return plan.free(engines).values().stream().mapToInt(List::size).sum();
+        return plan.freeEngines(engines).values().stream().mapToInt(List::size).sum();
     }
 
     @Test
@@ -111,7 +112,7 @@
         PlannedGroup g = plan.groups().iterator().next();
         mark(g, GroupState.READY);
         int last = memberNumber(g);
-        engine(last, new GroupMark(g.name(), g.epoch(), 1, GroupState.JOINING));
+        engine(last, new GroupMembership(g.name(), g.epoch(), 1, GroupState.JOINING));
         Assertions.assertTrue(of(step(), TargetOrder.Open.class).isEmpty());
         mark(g, GroupState.READY);
         List<GroupAction> opens = of(step(), TargetOrder.Open.class);
@@ -123,7 +124,11 @@
         PlannedGroup g = openGroup();
         engine(9, null);
         int lost = memberNumber(g);
-        engine(lost, new GroupMark(g.name(), g.epoch(), 1, GroupState.READY), TargetRecord.Presence.SERVING, true);
+        engine(
+                lost,
+                new GroupMembership(g.name(), g.epoch(), 1, GroupState.READY),
+                TargetRecord.Presence.SERVING,
+                true);
         List<GroupAction> actions = step();
         Assertions.assertEquals(1, of(actions, TargetOrder.Leave.class).size());
         for (GroupAction join : of(actions, TargetOrder.Join.class)) {
@@ -141,8 +146,8 @@
     @ValueSource(longs = {0, 5_000, 60_000})
     void membersOfALostHeadLeaveBeforeTheyJoinElsewhere(long later) {
         PlannedGroup g = openGroup();
-        GroupMark mark = new GroupMark(g.name(), g.epoch(), 0, GroupState.OPEN);
-        engine(headNumber(g), mark, TargetRecord.Presence.SERVING, true);
+        GroupMembership membership = new GroupMembership(g.name(), g.epoch(), 0, GroupState.OPEN);
+        engine(headNumber(g), membership, TargetRecord.Presence.SERVING, true);
         engine(9, null);
         step();
         now += later;
@@ -161,11 +166,11 @@
     @Test
     void aGroupWhoseHeadRecoversIsAdoptedAgain() {
         PlannedGroup g = openGroup();
-        GroupMark mark = new GroupMark(g.name(), g.epoch(), 0, GroupState.OPEN);
-        engine(headNumber(g), mark, TargetRecord.Presence.SERVING, true);
+        GroupMembership membership = new GroupMembership(g.name(), g.epoch(), 0, GroupState.OPEN);
+        engine(headNumber(g), membership, TargetRecord.Presence.SERVING, true);
         step();
         Assertions.assertTrue(plan.groups().isEmpty());
-        engine(headNumber(g), mark);
+        engine(headNumber(g), membership);
         Assertions.assertTrue(step().isEmpty());
         Assertions.assertEquals(g.members(), plan.members(g.name()));
         engine(memberNumber(g), null);
@@ -186,7 +191,7 @@
         PlannedGroup g = plan.groups().iterator().next();
         mark(g, GroupState.READY);
         Assertions.assertEquals(1, of(step(), TargetOrder.Open.class).size());
-        GroupMark ready = new GroupMark(g.name(), g.epoch(), 0, GroupState.READY);
+        GroupMembership ready = new GroupMembership(g.name(), g.epoch(), 0, GroupState.READY);
         engine(headNumber(g), ready, TargetRecord.Presence.SERVING, true);
         Assertions.assertEquals(2, of(step(), TargetOrder.Leave.class).size());
         g.members().subList(1, 3).forEach(m -> engine(Integer.parseInt(m.value().substring(2)), null));
@@ -205,11 +210,11 @@
     @Test
     void aHeadThatRecoversWithoutItsMembersLeaves() {
         PlannedGroup g = openGroup();
-        GroupMark mark = new GroupMark(g.name(), g.epoch(), 0, GroupState.OPEN);
-        engine(headNumber(g), mark, TargetRecord.Presence.SERVING, true);
+        GroupMembership membership = new GroupMembership(g.name(), g.epoch(), 0, GroupState.OPEN);
+        engine(headNumber(g), membership, TargetRecord.Presence.SERVING, true);
         step();
         engine(memberNumber(g), null);
-        engine(headNumber(g), mark);
+        engine(headNumber(g), membership);
         Assertions.assertEquals(
                 g.head(), of(step(), TargetOrder.Leave.class).get(0).target().id());
     }
@@ -220,12 +225,12 @@
             names = {"LEAVING", "GONE"})
     void aGroupWithALeavingMemberIsClosedFirst(TargetRecord.Presence presence) {
         PlannedGroup g = openGroup();
-        engine(memberNumber(g), new GroupMark(g.name(), g.epoch(), 1, GroupState.READY), presence, false);
+        engine(memberNumber(g), new GroupMembership(g.name(), g.epoch(), 1, GroupState.READY), presence, false);
         Assertions.assertEquals(1, of(step(), TargetOrder.Close.class).size());
-        engine(headNumber(g), new GroupMark(g.name(), g.epoch(), 0, GroupState.CLOSING));
+        engine(headNumber(g), new GroupMembership(g.name(), g.epoch(), 0, GroupState.CLOSING));
         step();
         Assertions.assertEquals(0, freeCount());
-        engine(headNumber(g), new GroupMark(g.name(), g.epoch(), 0, GroupState.READY));
+        engine(headNumber(g), new GroupMembership(g.name(), g.epoch(), 0, GroupState.READY));
         step();
         Assertions.assertEquals(2, freeCount());
     }
@@ -242,7 +247,7 @@
         Assertions.assertEquals(1, of(step(), TargetOrder.Open.class).size());
         engine(
                 memberNumber(g),
-                new GroupMark(g.name(), g.epoch(), 1, GroupState.READY),
+                new GroupMembership(g.name(), g.epoch(), 1, GroupState.READY),
                 TargetRecord.Presence.SERVING,
                 true);
         Assertions.assertEquals(1, of(step(), TargetOrder.Leave.class).size());
@@ -273,7 +278,7 @@
         Assertions.assertEquals(1, joins.size());
         TargetOrder.Join warm = (TargetOrder.Join) joins.get(0).order();
         Assertions.assertEquals(new InstanceId("i-9"), joins.get(0).target().id());
-        engine(9, new GroupMark(warm.group(), warm.epoch(), 0, GroupState.READY));
+        engine(9, new GroupMembership(warm.group(), warm.epoch(), 0, GroupState.READY));
         Assertions.assertTrue(step().isEmpty());
         Assertions.assertEquals(1, freeCount());
     }
@@ -363,8 +368,8 @@
         for (int rank = 0; rank < 3; rank++) {
             InstanceId id = g.members().get(rank);
             GroupState state = rank == 0 ? head : GroupState.READY;
-            GroupMark mark = new GroupMark(g.name(), g.epoch(), rank, state);
-            engine(numberOf(id), domainOf(id), mark, TargetRecord.Presence.SERVING, false);
+            GroupMembership membership = new GroupMembership(g.name(), g.epoch(), rank, state);
+            engine(numberOf(id), domainOf(id), membership, TargetRecord.Presence.SERVING, false);
         }
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/group/GroupProbesTest.java
+++ b/serving/src/test/java/org/hallwall/serving/group/GroupProbesTest.java
@@ -54,12 +54,12 @@
 
     private final TargetGateway gateway = new TargetGateway() {
         @Override
-        public Mono<OrderOutcome> order(TargetRecord target, TargetOrder order, long token, Duration timeout) {
+        public Mono<OrderOutcome> sendOrder(TargetRecord target, TargetOrder order, long token, Duration timeout) {
             return Mono.just(OrderOutcome.UNKNOWN);
         }
 
         @Override
-        public Mono<Boolean> answers(TargetRecord target, Duration timeout) {
+        public Mono<Boolean> probe(TargetRecord target, Duration timeout) {
             if (inBackoff.contains(target.instance())) {
                 return Mono.empty();
             }
@@ -83,7 +83,7 @@
         List<InstanceId> all = new ArrayList<>(MEMBERS);
         all.add(WITNESS);
         for (InstanceId id : all) {
-            directory.take(record(id));
+            directory.applyRecord(record(id));
         }
     }
 
@@ -131,7 +131,7 @@
     @RepeatedTest(20)
     void aDeadWitnessDoesNotMakeTheRoundInconclusive() {
         InstanceId second = new InstanceId("i-8");
-        directory.take(record(second));
+        directory.applyRecord(record(second));
         dead.addAll(MEMBERS);
         dead.add(WITNESS);
         Assertions.assertEquals(GroupLiveness.LOST, probes.probe("g", MEMBERS).block());
--- a/serving/src/test/java/org/hallwall/serving/group/LoadPacerTest.java
+++ b/serving/src/test/java/org/hallwall/serving/group/LoadThrottleTest.java
@@ -28,29 +28,29 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Tests the limits on the rate and the concurrency of loads. */
-class LoadPacerTest {
+class LoadThrottleTest {
 
     private static final long WINDOW = 5_000;
 
     @ParameterizedTest
     @CsvSource({"4.5, 6, 1000", "4.5, 100, 10", "1, 3, 500", "0.5, 100, 100"})
     void theRateIsKeptInEveryWindow(double rate, int maxConcurrent, long loadMillis) {
-        LoadPacer pacer = new LoadPacer();
+        LoadThrottle throttle = new LoadThrottle();
         List<Long> starts = new ArrayList<>();
         List<InstanceId> running = new ArrayList<>();
         List<Long> ends = new ArrayList<>();
         for (long now = 0; now < 60_000; now += 50) {
             while (!ends.isEmpty() && ends.get(0) <= now) {
                 ends.remove(0);
-                pacer.ended(running.remove(0));
+                throttle.release(running.remove(0));
             }
             InstanceId id = new InstanceId("i-" + now);
-            if (pacer.tryBegin(id, "m", rate, maxConcurrent, now)) {
+            if (throttle.tryStart(id, "m", rate, maxConcurrent, now)) {
                 starts.add(now);
                 running.add(id);
                 ends.add(now + loadMillis);
             }
-            Assertions.assertTrue(pacer.runningLoads().size() <= maxConcurrent);
+            Assertions.assertTrue(throttle.runningLoads().size() <= maxConcurrent);
         }
         for (long from : starts) {
             long inWindow =
@@ -64,15 +64,15 @@
     @ParameterizedTest
     @ValueSource(doubles = {0.5, 4.5, 20})
     void theRateIsKeptAcrossATakeover(double rate) {
-        LoadPacer previous = new LoadPacer();
-        LoadPacer successor = new LoadPacer();
+        LoadThrottle previous = new LoadThrottle();
+        LoadThrottle successor = new LoadThrottle();
         List<Long> starts = new ArrayList<>();
         for (long now = 0; now < 20_000; now += 50) {
             if (now == 10_000) {
                 successor.recordTakeover(now);
             }
-            LoadPacer pacer = now < 10_000 ? previous : successor;
-            while (pacer.tryBegin(new InstanceId("e" + starts.size()), "m", rate, 1_000, now)) {
+            LoadThrottle throttle = now < 10_000 ? previous : successor;
+            while (throttle.tryStart(new InstanceId("e" + starts.size()), "m", rate, 1_000, now)) {
                 starts.add(now);
             }
         }
--- a/serving/src/test/java/org/hallwall/serving/group/SurplusMemberStagingTest.java
+++ b/serving/src/test/java/org/hallwall/serving/group/SurplusMemberStagingTest.java
@@ -26,7 +26,7 @@
 import org.hallwall.serving.config.EngineModel;
 import org.hallwall.serving.config.EngineSpec;
 import org.hallwall.serving.decision.Mechanisms;
-import org.hallwall.serving.target.GroupMark;
+import org.hallwall.serving.target.GroupMembership;
 import org.hallwall.serving.target.GroupState;
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
@@ -44,13 +44,13 @@
     private final GroupPlan plan = new GroupPlan(1, Mechanisms.ALL);
     private final StagingPlan staging = new StagingPlan(Mechanisms.ALL);
 
-    private void engine(int n, String staged, GroupMark mark) {
-        engine(n, "d0", staged, mark);
+    private void engine(int n, String staged, GroupMembership membership) {
+        engine(n, "d0", staged, membership);
     }
 
-    private void engine(int n, String domain, String staged, GroupMark mark) {
-        String model = mark == null ? null : "small";
-        Engine e = EngineFixture.engine("i-" + n, domain, model, staged, mark);
+    private void engine(int n, String domain, String staged, GroupMembership membership) {
+        String model = membership == null ? null : "small";
+        Engine e = EngineFixture.engine("i-" + n, domain, model, staged, membership);
         engines.put(e.id(), e);
     }
 
@@ -58,7 +58,7 @@
     private void addDomainOfSmallGroups() {
         for (int n = 0; n < 9; n++) {
             GroupState state = n % 3 == 0 ? GroupState.OPEN : GroupState.READY;
-            engine(21 + n, "d1", "small", new GroupMark("h" + n / 3, 1 + n / 3, n % 3, state));
+            engine(21 + n, "d1", "small", new GroupMembership("h" + n / 3, 1 + n / 3, n % 3, state));
         }
     }
 
@@ -72,7 +72,7 @@
         addDomainOfSmallGroups();
         for (int rank = 0; rank < 3; rank++) {
             GroupState state = rank == 0 ? GroupState.OPEN : GroupState.READY;
-            engine(11 + rank, "small", new GroupMark(g.name(), g.epoch(), rank, state));
+            engine(11 + rank, "small", new GroupMembership(g.name(), g.epoch(), rank, state));
         }
         for (int n = 1; n <= idle; n++) {
             engine(n, "big", null);
@@ -83,7 +83,7 @@
 
     /** Returns the required loads other than those of spares. */
     private List<StageOrder> stage(long now) {
-        return staging.step(now, SPEC, plan.packing(), plan.free(engines), engines).stream()
+        return staging.step(now, SPEC, plan.packing(), plan.freeEngines(engines), engines).stream()
                 .filter(o -> !o.isSpare())
                 .toList();
     }
@@ -105,7 +105,7 @@
         createFleet(5);
         stage(0);
         List<StageOrder> orders = stage(2_000);
-        staging.begun(orders.get(0).target().id());
+        staging.markStarted(orders.get(0).target().id());
         Assertions.assertEquals(orders, stage(10_000));
     }
 
@@ -113,7 +113,7 @@
     void theSmallGroupServesUntilTheModelIsStagedAndIsThenRetired() {
         PlannedGroup g = createFleet(5);
         Assertions.assertTrue(orders(TargetOrder.Close.class).isEmpty());
-        engine(11, "big", new GroupMark(g.name(), g.epoch(), 0, GroupState.OPEN));
+        engine(11, "big", new GroupMembership(g.name(), g.epoch(), 0, GroupState.OPEN));
         orders(TargetOrder.Close.class);
         Assertions.assertEquals(1, orders(TargetOrder.Close.class).size());
         engine(11, "big", null);
@@ -130,7 +130,7 @@
     @Test
     void anUnknownMemberDoesNotPreventCountingTheOthers() {
         createFleet(5);
-        engine(11, "big", new GroupMark("g1000001", 1_000_001, 0, GroupState.OPEN));
+        engine(11, "big", new GroupMembership("g1000001", 1_000_001, 0, GroupState.OPEN));
         engines.remove(new InstanceId("i-12"));
         Assertions.assertDoesNotThrow(() -> orders(TargetOrder.Close.class));
     }
--- a/serving/src/test/java/org/hallwall/serving/permit/EntryPermitsTest.java
+++ b/serving/src/test/java/org/hallwall/serving/permit/EntryPermitsTest.java
@@ -34,7 +34,7 @@
     private static final long MINUTE_MILLIS = 60_000;
 
     private long now = 10_000;
-    private final PermitLedger ledger = new PermitLedger(() -> now, 0);
+    private final PermitAllocator allocator = new PermitAllocator(() -> now, 0);
     private final EntryPermits permits = new EntryPermits(() -> now, () -> 0.5);
 
     private void receiveLimit(double perSecond) {
@@ -43,15 +43,15 @@
     }
 
     private void exchange() {
-        if (permits.dueMillis() == 0) {
-            permits.take(ledger.take(ENTRY, permits.asks()), now);
+        if (permits.millisUntilDue() == 0) {
+            permits.applyGrants(allocator.allocate(ENTRY, permits.dueRequests()), now);
         }
     }
 
     @Test
     void targetsAreUnlimitedInitially() {
         Assertions.assertTrue(permits.tryAcquire(TARGET));
-        Assertions.assertEquals(-1, permits.dueMillis());
+        Assertions.assertEquals(-1, permits.millisUntilDue());
     }
 
     @Test
@@ -67,7 +67,7 @@
         receiveLimit(perSecond);
         int count = 0;
         for (long end = now + MINUTE_MILLIS; now < end; now += 10) {
-            permits.want(TARGET);
+            permits.recordDemand(TARGET);
             exchange();
             count += permits.tryAcquire(TARGET) ? 1 : 0;
         }
@@ -82,11 +82,11 @@
         receiveLimit(2);
         exchange();
         now += 1_000;
-        permits.want(TARGET);
+        permits.recordDemand(TARGET);
         exchange();
         now += LimitedTarget.LEASE_MILLIS;
         Assertions.assertFalse(permits.tryAcquire(TARGET));
-        List<PermitAsk> asks = permits.asks();
+        List<PermitDemand> asks = permits.dueRequests();
         Assertions.assertEquals(1, asks.size());
         Assertions.assertTrue(asks.get(0).unused() > 0);
     }
@@ -100,9 +100,9 @@
         receiveLimit(-1);
         Assertions.assertTrue(permits.tryAcquire(TARGET));
         exchange();
-        Assertions.assertFalse(ledger.isLimited(TARGET));
+        Assertions.assertFalse(allocator.isLimited(TARGET));
         EntryPermits other = new EntryPermits(() -> now, () -> 0.5);
-        other.learn(ledger.limits());
+        other.applyReports(allocator.limits());
         Assertions.assertTrue(other.tryAcquire(TARGET));
     }
 
@@ -113,13 +113,13 @@
         exchange();
         now += 100;
         receiveLimit(-1);
-        List<PermitAsk> late = permits.asks();
+        List<PermitDemand> late = permits.dueRequests();
         EntryPermits other = new EntryPermits(() -> now, () -> 0.5);
         other.applyStatement(TARGET, new LimitStatement(new RateLimit(1), now - 10, now));
-        other.take(ledger.take(new InstanceId("e-2"), other.asks()), now);
+        other.applyGrants(allocator.allocate(new InstanceId("e-2"), other.dueRequests()), now);
         now += 5_000;
-        permits.take(ledger.take(ENTRY, late), now);
-        Assertions.assertTrue(ledger.isLimited(TARGET));
+        permits.applyGrants(allocator.allocate(ENTRY, late), now);
+        Assertions.assertTrue(allocator.isLimited(TARGET));
         Assertions.assertFalse(permits.tryAcquire(TARGET));
     }
 
@@ -128,7 +128,7 @@
         receiveLimit(2);
         exchange();
         EntryPermits other = new EntryPermits(() -> now, () -> 0.5);
-        other.learn(ledger.limits());
+        other.applyReports(allocator.limits());
         Assertions.assertFalse(other.tryAcquire(TARGET));
     }
 
@@ -136,12 +136,12 @@
     @ParameterizedTest
     @CsvSource({"9, 2, 5", "9, 50, 101", "350, 2, 1", "0, 50, 0"})
     void localPermitsAreAFractionOfTheEvenShare(int entries, double perSecond, int most) {
-        permits.entries(entries);
+        permits.entryCount(entries);
         receiveLimit(perSecond);
         int count = 0;
         for (long end = now + MINUTE_MILLIS; now < end; now += 10) {
-            permits.want(TARGET);
-            permits.asks();
+            permits.recordDemand(TARGET);
+            permits.dueRequests();
             count += permits.tryAcquire(TARGET) ? 1 : 0;
         }
         int acquired = count;
@@ -152,9 +152,9 @@
     /** Orders of the control instance may use a bounded number of permits in advance. */
     @Test
     void ordersAcquirePermitsInAdvance() {
-        ledger.applyStatement(TARGET, new LimitStatement(new RateLimit(0.1), now - 10, now));
-        Assertions.assertTrue(ledger.tryAcquire(TARGET));
-        Assertions.assertTrue(ledger.tryAcquire(TARGET));
-        Assertions.assertFalse(ledger.tryAcquire(TARGET));
+        allocator.applyStatement(TARGET, new LimitStatement(new RateLimit(0.1), now - 10, now));
+        Assertions.assertTrue(allocator.tryAcquire(TARGET));
+        Assertions.assertTrue(allocator.tryAcquire(TARGET));
+        Assertions.assertFalse(allocator.tryAcquire(TARGET));
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/permit/SimulatedEntry.java
+++ b/serving/src/test/java/org/hallwall/serving/permit/SimulatedEntry.java
@@ -67,7 +67,7 @@
         running = true;
         asking = false;
         permits = new EntryPermits(this::clock, system.random()::nextDouble);
-        permits.entries(entryCount);
+        permits.entryCount(entryCount);
         Arrays.fill(limitKnownSince, Long.MAX_VALUE);
     }
 
@@ -167,7 +167,7 @@
 
     private void recordDemand(InstanceId target) {
         if (shareLimiter == null) {
-            permits.want(target);
+            permits.recordDemand(target);
         } else {
             shareLimiter.want(target);
         }
@@ -200,7 +200,7 @@
 
     void receiveLimits(List<LimitReport> limits) {
         if (isRunning() && !partitioned) {
-            permits.learn(limits);
+            permits.applyReports(limits);
         }
     }
 
@@ -211,11 +211,11 @@
     }
 
     void requestPermits() {
-        long due = isRunning() && shareLimiter == null && !asking ? permits.dueMillis() : -1;
+        long due = isRunning() && shareLimiter == null && !asking ? permits.millisUntilDue() : -1;
         if (due != 0 || clock() < nextRequestAt) {
             return;
         }
-        List<PermitAsk> permitRequests = permits.asks();
+        List<PermitDemand> permitRequests = permits.dueRequests();
         if (permitRequests.isEmpty()) {
             return;
         }
@@ -231,12 +231,12 @@
                 () -> asking &= requestIncarnation != incarnation || clock() - requestedAt < TIMEOUT_MILLIS);
     }
 
-    private void deliver(List<PermitAsk> permitRequests, long requestedAt, long requestIncarnation) {
-        PermitLedger ledger = system.ledger(this);
-        if (ledger == null || partitioned) {
+    private void deliver(List<PermitDemand> permitRequests, long requestedAt, long requestIncarnation) {
+        PermitAllocator allocator = system.ledger(this);
+        if (allocator == null || partitioned) {
             return;
         }
-        List<PermitGrant> grants = ledger.take(id, permitRequests);
+        List<PermitGrant> grants = allocator.allocate(id, permitRequests);
         system.later(1 + system.random().nextInt(8), () -> receiveGrants(grants, requestedAt, requestIncarnation));
     }
 
@@ -250,6 +250,6 @@
         }
         asking = false;
         nextRequestAt = requestedAt + MIN_INTERVAL_MILLIS;
-        permits.take(grants, requestedAt);
+        permits.applyGrants(grants, requestedAt);
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/permit/SimulatedSystem.java
+++ b/serving/src/test/java/org/hallwall/serving/permit/SimulatedSystem.java
@@ -46,8 +46,8 @@
     private final Set<Integer> announced = new HashSet<>();
     private double[] weights;
     private int ledgers;
-    private PermitLedger ledger;
-    private PermitLedger former;
+    private PermitAllocator allocator;
+    private PermitAllocator former;
     private long formerUntil;
     private long now;
     private long order;
@@ -71,7 +71,7 @@
             long seed) {
         this.random = new Random(seed);
         this.perSecond = perSecond;
-        this.ledger = newLedger();
+        this.allocator = newLedger();
         this.weights = new double[entryCount];
         for (int t = 0; t < targetCount; t++) {
             targets.add(new LimitWindows());
@@ -131,27 +131,27 @@
         at(now + millis, action);
     }
 
-    private PermitLedger newLedger() {
-        return new PermitLedger(() -> now, ++ledgers * VERSIONS);
+    private PermitAllocator newLedger() {
+        return new PermitAllocator(() -> now, ++ledgers * VERSIONS);
     }
 
     /** Changes the leader; the former one also answers requests for a time. */
     void changeLeader(long overlapMillis) {
-        former = ledger;
+        former = allocator;
         formerUntil = now + overlapMillis;
-        ledger = newLedger();
+        allocator = newLedger();
     }
 
     /** Leaves the system without a leader for a time. */
     void loseLeader(long millis) {
-        ledger = null;
-        later(millis, () -> ledger = newLedger());
+        allocator = null;
+        later(millis, () -> allocator = newLedger());
     }
 
     /** Returns the ledger that an entry would reach; null if there is none. */
-    PermitLedger ledger(SimulatedEntry entry) {
+    PermitAllocator ledger(SimulatedEntry entry) {
         boolean old = now < formerUntil && entries.indexOf(entry) % 2 == 0;
-        return old ? former : ledger;
+        return old ? former : allocator;
     }
 
     void run(long until) {
@@ -159,8 +159,8 @@
             while (!events.isEmpty() && events.peek().at() <= now) {
                 events.poll().action().run();
             }
-            if (now % PUBLISH_MILLIS == 0 && ledger != null) {
-                List<LimitReport> limits = ledger.limits();
+            if (now % PUBLISH_MILLIS == 0 && allocator != null) {
+                List<LimitReport> limits = allocator.limits();
                 entries.forEach(e -> e.receiveLimits(limits));
                 publishShares();
             }
--- a/serving/src/test/java/org/hallwall/serving/relay/BalancerTest.java
+++ b/serving/src/test/java/org/hallwall/serving/relay/BalancerTest.java
@@ -27,7 +27,7 @@
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.core.settings.NetAddress;
 import org.hallwall.serving.decision.Mechanisms;
-import org.hallwall.serving.target.GroupMark;
+import org.hallwall.serving.target.GroupMembership;
 import org.hallwall.serving.target.GroupState;
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
@@ -78,9 +78,9 @@
         List<ServingTarget> targets = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             String domain = i < 2 ? "a" : "b";
-            GroupMark mark = new GroupMark("g" + i, 1, 0, GroupState.OPEN);
+            GroupMembership membership = new GroupMembership("g" + i, 1, 0, GroupState.OPEN);
             targets.add(new ServingTarget(
-                    new InstanceId("h" + i), 1, new NetAddress("127.0.0.1", 1), domain, 18, "m", mark, 1));
+                    new InstanceId("h" + i), 1, new NetAddress("127.0.0.1", 1), domain, 18, "m", membership, 1));
             sums.put("h" + i, i < 2 ? outstanding : 0);
         }
         fleet.update(Map.of(), sums);
--- a/serving/src/test/java/org/hallwall/serving/relay/CrashExchangeTest.java
+++ b/serving/src/test/java/org/hallwall/serving/relay/CrashExchangeTest.java
@@ -45,11 +45,11 @@
             probes.incrementAndGet();
             return Mono.just(refused);
         });
-        return exchange.refuses(TARGET).block();
+        return exchange.refusesConnections(TARGET).block();
     }
 
     private void announce(TargetRecord.Presence presence) {
-        directory.take(new TargetRecord(
+        directory.applyRecord(new TargetRecord(
                 TARGET, 1, "app", new NetAddress("127.0.0.1", 9), "a", 4, presence, null, null, List.of(), null));
     }
 
--- a/serving/src/test/java/org/hallwall/serving/relay/CrashHoldBackTest.java
+++ b/serving/src/test/java/org/hallwall/serving/relay/CrashHoldBackTest.java
@@ -29,7 +29,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 import org.hallwall.serving.config.RequestKind;
-import org.hallwall.serving.target.StartedTarget;
+import org.hallwall.serving.target.TargetIds;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
@@ -117,7 +117,7 @@
         }
 
         private String id(String service) {
-            return StartedTarget.id(service + "-" + name, start).value();
+            return TargetIds.id(service + "-" + name, start).value();
         }
 
         private void announce() {
--- a/serving/src/test/java/org/hallwall/serving/relay/RelayFixture.java
+++ b/serving/src/test/java/org/hallwall/serving/relay/RelayFixture.java
@@ -43,14 +43,14 @@
 import org.hallwall.serving.config.WorkspaceKeys;
 import org.hallwall.serving.crash.CrashWatch;
 import org.hallwall.serving.crash.RequestDigester;
-import org.hallwall.serving.crash.SuspectNews;
+import org.hallwall.serving.crash.SuspectUpdate;
 import org.hallwall.serving.decision.Mechanisms;
 import org.hallwall.serving.permit.EntryPermits;
-import org.hallwall.serving.permit.PermitAsk;
-import org.hallwall.serving.permit.PermitLedger;
+import org.hallwall.serving.permit.PermitAllocator;
+import org.hallwall.serving.permit.PermitDemand;
 import org.hallwall.serving.target.FeedMessage.StalledHead;
 import org.hallwall.serving.target.GroupLiveness;
-import org.hallwall.serving.target.GroupMark;
+import org.hallwall.serving.target.GroupMembership;
 import org.hallwall.serving.target.GroupState;
 import org.hallwall.serving.target.TargetDirectory;
 import org.hallwall.serving.target.TargetRecord;
@@ -78,7 +78,7 @@
     private final LoopResources loops = LoopResources.create("test", 1, true);
     private final TargetDirectory directory = new TargetDirectory(Ticker.SYSTEM);
     private final EntryState state = new EntryState(directory);
-    private final PermitLedger ledger = new PermitLedger(Ticker.SYSTEM, 0);
+    private final PermitAllocator allocator = new PermitAllocator(Ticker.SYSTEM, 0);
     private final EntryPermits permits = new EntryPermits(Ticker.SYSTEM, () -> 0);
     private final TargetAvailability availability = new TargetAvailability(Ticker.SYSTEM, permits);
     private final List<StalledHead> stalledHeads = new CopyOnWriteArrayList<>();
@@ -107,11 +107,11 @@
         FleetLoad fleet = new FleetLoad(Ticker.SYSTEM);
         Balancer balancer = new Balancer("a", fleet, Mechanisms.ALL, Ticker.SYSTEM);
         EventLoop io = loops.onServer(LoopResources.DEFAULT_NATIVE).next();
-        permits.entries(1);
+        permits.entryCount(1);
         permits.onDue(() -> io.execute(this::askForPermits));
         crashes = new CrashWatch(crashPeers, io, Ticker.SYSTEM);
         io.scheduleAtFixedRate(crashes::tick, CHECK_INTERVAL_MILLIS, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
-        crashes.take(new SuspectNews(new byte[RequestDigester.KEY_BYTES], 1, true, List.of(), List.of()));
+        crashes.applyUpdate(new SuspectUpdate(new byte[RequestDigester.KEY_BYTES], 1, true, List.of(), List.of()));
         server = new RelayServer(new RelayContext(
                 state,
                 new CandidateTargets(state, availability, permits, () -> 0),
@@ -132,9 +132,9 @@
 
     /** Stands in for {@link PermitExchange}, without the network. */
     private void askForPermits() {
-        List<PermitAsk> asks = permits.asks();
+        List<PermitDemand> asks = permits.dueRequests();
         if (!asks.isEmpty()) {
-            permits.take(ledger.take(new InstanceId("entry"), asks), Ticker.SYSTEM.millis());
+            permits.applyGrants(allocator.allocate(new InstanceId("entry"), asks), Ticker.SYSTEM.millis());
         }
     }
 
@@ -171,12 +171,12 @@
     /** Adds a plain target, or the head of a group with one member. */
     void add(String service, String id, int port) {
         boolean head = service.equals("llm");
-        GroupMark mark = head ? new GroupMark("g-" + id, 1, 0, GroupState.OPEN) : null;
-        announce(service, id, port, mark);
+        GroupMembership membership = head ? new GroupMembership("g-" + id, 1, 0, GroupState.OPEN) : null;
+        announce(service, id, port, membership);
     }
 
-    void announce(String service, String id, int port, GroupMark mark) {
-        directory.take(new TargetRecord(
+    void announce(String service, String id, int port, GroupMembership membership) {
+        directory.applyRecord(new TargetRecord(
                 new InstanceId(id),
                 sequence.incrementAndGet(),
                 service,
@@ -184,16 +184,17 @@
                 "a",
                 4,
                 TargetRecord.Presence.SERVING,
-                mark == null ? null : "d",
-                mark == null ? null : "m",
+                membership == null ? null : "d",
+                membership == null ? null : "m",
                 List.of("m"),
-                mark));
+                membership));
         state.refreshTargets();
     }
 
     /** Announces that a target is gone. */
     void remove(String id) {
-        directory.take(directory.find(new InstanceId(id)).with(sequence.incrementAndGet(), TargetRecord.Presence.GONE));
+        directory.applyRecord(
+                directory.find(new InstanceId(id)).with(sequence.incrementAndGet(), TargetRecord.Presence.GONE));
         state.refreshTargets();
     }
 
--- a/serving/src/test/java/org/hallwall/serving/relay/ScriptedCrashPeers.java
+++ b/serving/src/test/java/org/hallwall/serving/relay/ScriptedCrashPeers.java
@@ -25,7 +25,7 @@
 
 import org.hallwall.core.id.InstanceId;
 import org.hallwall.serving.crash.CrashPeers;
-import org.hallwall.serving.crash.EndedTarget;
+import org.hallwall.serving.crash.CrashedTarget;
 import org.hallwall.serving.crash.RequestDigest;
 import reactor.core.publisher.Mono;
 
@@ -34,7 +34,7 @@
 
     private final Set<InstanceId> endedTargets = ConcurrentHashMap.newKeySet();
     private final Set<InstanceId> restartedTargets = ConcurrentHashMap.newKeySet();
-    private final List<EndedTarget> reported = new CopyOnWriteArrayList<>();
+    private final List<CrashedTarget> reported = new CopyOnWriteArrayList<>();
 
     void markEnded(String target) {
         endedTargets.add(new InstanceId(target));
@@ -44,33 +44,33 @@
         restartedTargets.add(new InstanceId(target));
     }
 
-    List<EndedTarget> reported() {
+    List<CrashedTarget> reported() {
         return reported;
     }
 
     @Override
-    public Mono<Boolean> answers(InstanceId target) {
+    public Mono<Boolean> isResponding(InstanceId target) {
         return Mono.just(!endedTargets.contains(target));
     }
 
     @Override
-    public Mono<Boolean> refuses(InstanceId target) {
+    public Mono<Boolean> refusesConnections(InstanceId target) {
         return Mono.just(endedTargets.contains(target));
     }
 
     @Override
-    public boolean hasStartedAgain(InstanceId target) {
+    public boolean hasRestarted(InstanceId target) {
         return restartedTargets.contains(target);
     }
 
     @Override
-    public Mono<Long> report(List<EndedTarget> ended, List<RequestDigest> survived) {
+    public Mono<Long> report(List<CrashedTarget> ended, List<RequestDigest> survived) {
         reported.addAll(ended);
         return Mono.empty();
     }
 
     @Override
-    public Mono<Trial> mayTry(RequestDigest digest) {
+    public Mono<TrialDecision> requestTrial(RequestDigest digest) {
         return Mono.empty();
     }
 }
--- a/serving/src/test/java/org/hallwall/serving/relay/SimulatedEntries.java
+++ b/serving/src/test/java/org/hallwall/serving/relay/SimulatedEntries.java
@@ -204,8 +204,8 @@
             for (int c = 0; c < CONTROL_INSTANCES; c++) {
                 boolean isolated = partitioned[0] && (c == 0) != (controlDomain == 0);
                 if (!isolated) {
-                    controlInstances[c].take(id, Map.of());
-                    budget.recordEntryCount(controlInstances[c].most());
+                    controlInstances[c].recordPoll(id, Map.of());
+                    budget.recordEntryCount(controlInstances[c].peakCount());
                 }
             }
         }
--- a/serving/src/test/java/org/hallwall/serving/target/FeedMessageTest.java
+++ b/serving/src/test/java/org/hallwall/serving/target/FeedMessageTest.java
@@ -33,7 +33,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"{\"controls\":true,\"running\":{\"i-1\":2}}", "{\"running\":{\"i-1\":2},\"limits\":null}"})
     void missingLimitsAreDecodedAsEmpty(String text) throws Exception {
-        FeedMessage.LoadSums sums = Json.MAPPER.readValue(text, FeedMessage.LoadSums.class);
+        FeedMessage.LoadTotals sums = Json.MAPPER.readValue(text, FeedMessage.LoadTotals.class);
         Assertions.assertEquals(Map.of("i-1", 2), sums.running());
         Assertions.assertEquals(List.<LimitReport>of(), sums.limits());
     }
--- a/serving/src/test/java/org/hallwall/serving/target/TargetFeedTest.java
+++ b/serving/src/test/java/org/hallwall/serving/target/TargetFeedTest.java
@@ -63,9 +63,9 @@
     @Test
     void announcementsAfterShutdownAreIgnored() {
         feed.announce(record(2, TargetRecord.Presence.SERVING));
-        feed.leave(new InstanceId("i-1"), null);
+        feed.recordShutdown(new InstanceId("i-1"), null);
         Assertions.assertFalse(feed.announce(record(9, TargetRecord.Presence.SERVING)));
-        FeedMessage.News news = feed.news(poll("", 0));
+        FeedMessage.Changes news = feed.news(poll("", 0));
         Assertions.assertEquals(
                 TargetRecord.Presence.GONE, news.records().get(0).presence());
     }
@@ -73,7 +73,7 @@
     @Test
     void leavingTargetCompletesWaitingPolls() {
         feed.announce(record(1, TargetRecord.Presence.SERVING));
-        FeedMessage.News first = feed.news(poll("", 0));
+        FeedMessage.Changes first = feed.news(poll("", 0));
         Mono<Boolean> waiting =
                 feed.await(poll(first.boot(), first.next()), 0, 0).cache();
         waiting.subscribe();
@@ -86,13 +86,13 @@
     @Test
     void heartbeatDoesNotCompleteWaitingPolls() {
         feed.announce(record(1, TargetRecord.Presence.SERVING));
-        FeedMessage.News first = feed.news(poll("", 0));
+        FeedMessage.Changes first = feed.news(poll("", 0));
         Mono<Boolean> waiting =
                 feed.await(poll(first.boot(), first.next()), 0, 0).cache();
         waiting.subscribe();
         feed.announce(record(2, TargetRecord.Presence.SERVING));
         Assertions.assertEquals(Boolean.FALSE, waiting.block(Duration.ofSeconds(5)));
-        FeedMessage.News next = feed.news(
+        FeedMessage.Changes next = feed.news(
                 new FeedMessage.Poll(first.boot(), first.next(), first.heardNext(), 0, 50, java.util.Map.of(), 0));
         Assertions.assertTrue(next.records().isEmpty());
         Assertions.assertEquals(List.of(new InstanceId("i-1")), next.heard());
@@ -106,19 +106,19 @@
 
     @Test
     void newerConfigurationCompletesThePoll() {
-        FeedMessage.News first = feed.news(poll("", 0));
+        FeedMessage.Changes first = feed.news(poll("", 0));
         Assertions.assertEquals(
                 Boolean.TRUE, feed.await(poll(first.boot(), first.next()), 5, 0).block(Duration.ofSeconds(5)));
     }
 
     @Test
     void lostTargetsAreSentOnceAndCleared() {
-        FeedMessage.News first = feed.news(poll("", 0));
-        feed.markLost(java.util.Set.of(new InstanceId("i-1")));
-        FeedMessage.News second = feed.news(poll(first.boot(), first.next()));
+        FeedMessage.Changes first = feed.news(poll("", 0));
+        feed.setLost(java.util.Set.of(new InstanceId("i-1")));
+        FeedMessage.Changes second = feed.news(poll(first.boot(), first.next()));
         Assertions.assertEquals(List.of(new InstanceId("i-1")), second.lost());
         Assertions.assertNull(feed.news(poll(first.boot(), second.next())).lost());
-        feed.markLost(java.util.Set.of());
+        feed.setLost(java.util.Set.of());
         Assertions.assertTrue(
                 feed.news(poll(first.boot(), second.next())).lost().isEmpty());
     }
--- a/serving/src/test/java/org/hallwall/serving/target/StartedTargetTest.java
+++ b/serving/src/test/java/org/hallwall/serving/target/TargetIdsTest.java
@@ -25,27 +25,27 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Encoding of a target's name and start time in its id. */
-class StartedTargetTest {
+class TargetIdsTest {
 
     @ParameterizedTest
     @CsvSource({"i-7f3a91c2, 0, i-7f3a91c2", "i-7f3a91c2, 35, i-7f3a91c2/z", "i.a:b-c, 1296, i.a:b-c/100"})
     void encodesNameAndStart(String name, long start, String text) {
-        InstanceId id = StartedTarget.id(name, start);
-        Assertions.assertEquals(start, StartedTarget.start(id));
-        Assertions.assertEquals(name, StartedTarget.name(id));
+        InstanceId id = TargetIds.id(name, start);
+        Assertions.assertEquals(start, TargetIds.startMillis(id));
+        Assertions.assertEquals(name, TargetIds.name(id));
         Assertions.assertEquals(text, id.value());
     }
 
     @Test
     void nameWithASlashIsRejected() {
-        Assertions.assertThrows(IllegalArgumentException.class, () -> StartedTarget.id("i-1/2", 0));
+        Assertions.assertThrows(IllegalArgumentException.class, () -> TargetIds.id("i-1/2", 0));
     }
 
     @Test
     void laterStartsReplaceEarlierOnes() {
         LatestStarts starts = new LatestStarts();
-        InstanceId first = StartedTarget.id("i-1", 1_000);
-        InstanceId second = StartedTarget.id("i-1", 2_000);
+        InstanceId first = TargetIds.id("i-1", 1_000);
+        InstanceId second = TargetIds.id("i-1", 2_000);
         Assertions.assertNull(starts.update(first));
         Assertions.assertNull(starts.update(first));
         Assertions.assertEquals(first, starts.update(second));
--- a/simulation/src/main/java/org/hallwall/simulation/ExperimentMain.java
+++ b/simulation/src/main/java/org/hallwall/simulation/ExperimentMain.java
@@ -28,8 +28,8 @@
 import org.apache.commons.cli.ParseException;
 import org.hallwall.program.ExitCode;
 import org.hallwall.program.LogFormat;
-import org.hallwall.program.LogTarget;
-import org.hallwall.program.ProgramLogs;
+import org.hallwall.program.LogOutput;
+import org.hallwall.program.LoggingSetup;
 import org.hallwall.program.ProgramVersion;
 import org.hallwall.serving.decision.Mechanism;
 import org.hallwall.serving.decision.Mechanisms;
@@ -45,7 +45,7 @@
      * @param args the command line
      */
     public static void main(String[] args) {
-        ProgramLogs.configure(LogFormat.TEXT, "ERROR", LogTarget.STANDARD_ERROR);
+        LoggingSetup.configure(LogFormat.TEXT, "ERROR", LogOutput.STANDARD_ERROR);
         System.exit(run(System.out, System.err, args).code());
     }
 
@@ -62,10 +62,10 @@
             return dispatch(out, new DefaultParser().parse(options(), args));
         } catch (ParseException e) {
             err.println("hallwall-experiment: " + e.getMessage() + " (see --help)");
-            return ExitCode.WRONG_USE;
+            return ExitCode.USAGE_ERROR;
         } catch (IllegalArgumentException e) {
             err.println("hallwall-experiment: invalid pattern, mechanism or seed count: " + e.getMessage());
-            return ExitCode.WRONG_USE;
+            return ExitCode.USAGE_ERROR;
         }
     }
 
@@ -75,7 +75,7 @@
             return ExitCode.SUCCESS;
         }
         if (line.hasOption("version")) {
-            out.println("hallwall-experiment " + ProgramVersion.text());
+            out.println("hallwall-experiment " + ProgramVersion.version());
             return ExitCode.SUCCESS;
         }
         if (!line.hasOption("pattern") || !line.hasOption("seeds")) {
--- a/simulation/src/main/java/org/hallwall/simulation/SimulatedEngine.java
+++ b/simulation/src/main/java/org/hallwall/simulation/SimulatedEngine.java
@@ -26,7 +26,7 @@
 import org.hallwall.core.settings.NetAddress;
 import org.hallwall.serving.group.Engine;
 import org.hallwall.serving.group.TargetOrder;
-import org.hallwall.serving.target.GroupMark;
+import org.hallwall.serving.target.GroupMembership;
 import org.hallwall.serving.target.GroupState;
 import org.hallwall.serving.target.TargetRecord;
 
@@ -40,7 +40,7 @@
     final String fabricDomain;
     String stagedModel;
     String loadedModel;
-    GroupMark membership;
+    GroupMembership membership;
     TargetOrder.Join joinOrder;
     long joinedAtMillis = Long.MAX_VALUE;
     long opensAtMillis = Long.MAX_VALUE;
@@ -76,7 +76,7 @@
     }
 
     void setState(GroupState state) {
-        membership = new GroupMark(membership.name(), membership.epoch(), membership.rank(), state);
+        membership = new GroupMembership(membership.name(), membership.epoch(), membership.rank(), state);
     }
 
     Set<InstanceId> members() {
--- a/simulation/src/main/java/org/hallwall/simulation/SimulatedFleet.java
+++ b/simulation/src/main/java/org/hallwall/simulation/SimulatedFleet.java
@@ -31,11 +31,11 @@
 import org.hallwall.serving.group.Engine;
 import org.hallwall.serving.group.GroupAction;
 import org.hallwall.serving.group.GroupPlan;
-import org.hallwall.serving.group.LoadPacer;
+import org.hallwall.serving.group.LoadThrottle;
 import org.hallwall.serving.group.StageOrder;
 import org.hallwall.serving.group.StagingPlan;
 import org.hallwall.serving.group.TargetOrder;
-import org.hallwall.serving.target.GroupMark;
+import org.hallwall.serving.target.GroupMembership;
 import org.hallwall.serving.target.GroupState;
 
 /** The engines of a deployment and the controller that runs the planners and applies their orders. */
@@ -58,7 +58,7 @@
     private final UniformRandomProvider random;
     private final GroupPlan plan;
     private final StagingPlan staging;
-    private final LoadPacer pacer = new LoadPacer();
+    private final LoadThrottle throttle = new LoadThrottle();
     private final WeightStore store;
     private final Map<InstanceId, SimulatedEngine> engines = new LinkedHashMap<>();
     private final Map<String, SimulatedGroup> groups = new LinkedHashMap<>();
@@ -71,7 +71,7 @@
         this.random = random;
         this.plan = new GroupPlan(1, mechanisms);
         this.staging = new StagingPlan(mechanisms);
-        this.store = new WeightStore(spec.loadsAtOnce());
+        this.store = new WeightStore(spec.maxConcurrentLoads());
         for (int d = 0; d < scenario.fabricDomains(); d++) {
             for (int n = 0; n < scenario.enginesPerDomain(); n++) {
                 addEngine(d);
@@ -119,7 +119,7 @@
         long millis = until - now;
         now = until;
         for (SimulatedEngine e : store.advance(millis)) {
-            pacer.ended(e.id);
+            throttle.release(e.id);
         }
         engines.values().forEach(this::advanceMembership);
         detectFailures();
@@ -150,7 +150,7 @@
             SimulatedEngine head = engines.get(r.head());
             boolean serves = head != null
                     && head.isHeadOf(r.name())
-                    && head.membership.state().holdsMembers()
+                    && head.membership.state().reservesMembers()
                     && r.members().stream().noneMatch(id -> engines.get(id).markedFailed);
             if (!serves) {
                 out.addAll(r.removeAllStreams());
@@ -230,10 +230,10 @@
         for (GroupAction a : plan.step(now, spec, streams, view)) {
             applyOrder(engines.get(a.target().id()), a.order());
         }
-        for (StageOrder o : staging.step(now, spec, plan.packing(), plan.free(view), view)) {
+        for (StageOrder o : staging.step(now, spec, plan.packing(), plan.freeEngines(view), view)) {
             SimulatedEngine e = engines.get(o.target().id());
             if (!e.unreachable && !store.isLoading(e) && tryStartLoad(e, o)) {
-                staging.begun(e.id);
+                staging.markStarted(e.id);
                 applyOrder(e, new TargetOrder.Stage(o.model()));
             }
         }
@@ -241,11 +241,11 @@
 
     private boolean tryStartLoad(SimulatedEngine e, StageOrder o) {
         if (now < scenario.warmUpMillis()) {
-            return pacer.tryBegin(e.id, o.model(), Integer.MAX_VALUE, Integer.MAX_VALUE, now);
+            return throttle.tryStart(e.id, o.model(), Integer.MAX_VALUE, Integer.MAX_VALUE, now);
         }
         return o.isSpare()
-                ? pacer.tryBeginSpare(e.id, o.model(), spec.loadsPerSecond(), spec.loadsAtOnce(), now)
-                : pacer.tryBegin(e.id, o.model(), spec.loadsPerSecond(), spec.loadsAtOnce(), now);
+                ? throttle.tryStartSpare(e.id, o.model(), spec.maxLoadsPerSecond(), spec.maxConcurrentLoads(), now)
+                : throttle.tryStart(e.id, o.model(), spec.maxLoadsPerSecond(), spec.maxConcurrentLoads(), now);
     }
 
     private void applyOrder(SimulatedEngine e, TargetOrder order) {
@@ -257,7 +257,7 @@
         } else if (order instanceof TargetOrder.Open o
                 && e.membership != null
                 && e.membership.name().equals(o.group())) {
-            e.opensAtMillis = e.opensAtMillis == Long.MAX_VALUE ? now + (long) spec.formMillis() : e.opensAtMillis;
+            e.opensAtMillis = e.opensAtMillis == Long.MAX_VALUE ? now + (long) spec.openMillis() : e.opensAtMillis;
         } else if (order instanceof TargetOrder.Close c && e.isHeadOf(c.group())) {
             if (e.membership.state() == GroupState.OPEN) {
                 e.setState(GroupState.CLOSING);
@@ -278,17 +278,17 @@
             return;
         }
         e.joinOrder = j;
-        e.membership = new GroupMark(j.group(), j.epoch(), j.members().indexOf(e.id), GroupState.JOINING);
+        e.membership = new GroupMembership(j.group(), j.epoch(), j.members().indexOf(e.id), GroupState.JOINING);
         e.opensAtMillis = Long.MAX_VALUE;
         if (j.model().equals(e.loadedModel)) {
             e.joinedAtMillis = now + LOADED_JOIN_MILLIS;
         } else {
-            e.joinedAtMillis = now + (long) (spec.model(j.model()).warmSeconds() * 1_000);
+            e.joinedAtMillis = now + (long) (spec.model(j.model()).hostLoadSeconds() * 1_000);
         }
     }
 
     private double loadMillis(String model) {
         EngineModel m = spec.model(model);
-        return m.loadSeconds() * 1_000 * (now < scenario.warmUpMillis() ? WARM_UP_LOAD_FACTOR : 1);
+        return m.storeLoadSeconds() * 1_000 * (now < scenario.warmUpMillis() ? WARM_UP_LOAD_FACTOR : 1);
     }
 }
--- a/simulation/src/main/java/org/hallwall/simulation/SimulatedGroup.java
+++ b/simulation/src/main/java/org/hallwall/simulation/SimulatedGroup.java
@@ -43,7 +43,7 @@
     SimulatedGroup(TargetOrder.Join join, EngineSpec spec, EngineTiming timing, long now) {
         this.joinOrder = join;
         this.slots = spec.slots();
-        this.timeFactor = spec.model(join.model()).pace();
+        this.timeFactor = spec.model(join.model()).timeFactor();
         this.timing = timing;
         this.clockMillis = now;
     }
--- a/simulation/src/main/java/org/hallwall/simulation/SimulatedHeads.java
+++ b/simulation/src/main/java/org/hallwall/simulation/SimulatedHeads.java
@@ -25,7 +25,7 @@
 import org.hallwall.serving.availability.TargetAvailability;
 import org.hallwall.serving.availability.TargetNotice;
 import org.hallwall.serving.permit.EntryPermits;
-import org.hallwall.serving.permit.PermitLedger;
+import org.hallwall.serving.permit.PermitAllocator;
 import org.hallwall.serving.permit.RateLimit;
 
 /** Simulates the unavailability of group heads and the availability state that entries derive from their answers. */
@@ -37,7 +37,7 @@
 
     private final UnavailabilitySchedule schedule;
     private final UniformRandomProvider random;
-    private final PermitLedger ledger;
+    private final PermitAllocator allocator;
     private final EntryPermits permits;
     private final TargetAvailability availability;
     private long now;
@@ -46,7 +46,7 @@
     SimulatedHeads(UnavailabilitySchedule schedule, UniformRandomProvider random) {
         this.schedule = schedule;
         this.random = random;
-        this.ledger = new PermitLedger(() -> now, 0);
+        this.allocator = new PermitAllocator(() -> now, 0);
         this.permits = new EntryPermits(() -> now, random::nextDouble);
         this.availability = new TargetAvailability(() -> now, permits);
     }
@@ -55,15 +55,15 @@
     void advanceTo(long clock, long sinceWarmUp) {
         now = clock;
         elapsedMillis = sinceWarmUp;
-        if (permits.dueMillis() == 0) {
-            permits.take(ledger.take(ENTRY, permits.asks()), now);
+        if (permits.millisUntilDue() == 0) {
+            permits.applyGrants(allocator.allocate(ENTRY, permits.dueRequests()), now);
         }
     }
 
     /** Records permit demand for a stream that any of the given groups could serve. */
     void recordDemand(List<SimulatedGroup> groups) {
         if (schedule.rateLimitPerSecond() > 0 && !groups.isEmpty()) {
-            permits.want(groups.get(random.nextInt(groups.size())).head());
+            permits.recordDemand(groups.get(random.nextInt(groups.size())).head());
         }
     }
 
@@ -81,23 +81,23 @@
             return true;
         }
         if (schedule.draining()) {
-            availability.take(group.head(), TargetNotice.draining());
+            availability.applyNotice(group.head(), TargetNotice.draining());
             return true;
         }
         if (random.nextDouble() >= REJECTED_FRACTION) {
             return true;
         }
-        availability.take(group.head(), TargetNotice.backoff(schedule.backoffMillis()));
+        availability.applyNotice(group.head(), TargetNotice.backoff(schedule.backoffMillis()));
         return false;
     }
 
     private boolean trySendWithinLimit(InstanceId head) {
-        if (!availability.tryRequest(head)) {
+        if (!availability.tryAcquireForRequest(head)) {
             return false;
         }
         boolean limited = isUnavailable(head);
         RateLimit limit = new RateLimit(schedule.rateLimitPerSecond());
-        availability.takeAnswer(head, limited ? TargetNotice.limited(limit) : TargetNotice.NONE, now);
+        availability.applyResponse(head, limited ? TargetNotice.limited(limit) : TargetNotice.NONE, now);
         return true;
     }
 
--- a/simulation/src/main/java/org/hallwall/simulation/SimulationRun.java
+++ b/simulation/src/main/java/org/hallwall/simulation/SimulationRun.java
@@ -33,7 +33,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.hallwall.serving.decision.Mechanism;
 import org.hallwall.serving.decision.Mechanisms;
-import org.hallwall.serving.relay.StreamRoom;
+import org.hallwall.serving.relay.StreamCapacity;
 
 /** Runs one scenario on a virtual clock. */
 public final class SimulationRun {
@@ -182,8 +182,8 @@
         List<SimulatedGroup> open = availableGroups(s);
         int slots = open.stream().mapToInt(SimulatedGroup::slots).sum();
         int active = open.stream().mapToInt(SimulatedGroup::activeStreams).sum();
-        boolean isRetry = s.retried && mechanisms.has(Mechanism.RETURNS_LAST);
-        boolean hasCapacity = !open.isEmpty() && StreamRoom.holds(active, slots, isRetry);
+        boolean isRetry = s.retried && mechanisms.isEnabled(Mechanism.RETURNS_LAST);
+        boolean hasCapacity = !open.isEmpty() && StreamCapacity.hasCapacity(active, slots, isRetry);
         if (hasCapacity && dispatch(s, open)) {
             return;
         }
@@ -248,7 +248,7 @@
         for (SimulatedGroup r : fleet.groups()) {
             out.merge(r.model(), r.activeStreams(), Integer::sum);
         }
-        if (mechanisms.has(Mechanism.REFUSED_DEMAND)) {
+        if (mechanisms.isEnabled(Mechanism.REFUSED_DEMAND)) {
             refusalTimes.forEach((m, list) -> {
                 list.removeIf(refusedAt -> now - refusedAt > REFUSAL_WINDOW_MILLIS);
                 out.merge(m, (int) (list.size() * 1_000 / REFUSAL_WINDOW_MILLIS), Integer::sum);
--- a/simulation/src/test/java/org/hallwall/simulation/ExperimentMainTest.java
+++ b/simulation/src/test/java/org/hallwall/simulation/ExperimentMainTest.java
@@ -51,7 +51,7 @@
 
     @Test
     void invalidArgumentsAreReported() {
-        Assertions.assertEquals(ExitCode.WRONG_USE, run("--pattern", "FOUR_AND_TWO", "--seeds", "many"));
+        Assertions.assertEquals(ExitCode.USAGE_ERROR, run("--pattern", "FOUR_AND_TWO", "--seeds", "many"));
         Assertions.assertFalse(err.toString(StandardCharsets.UTF_8).isEmpty());
     }
 }
--- a/wire/src/main/java/org/hallwall/wire/PeerCodec.java
+++ b/wire/src/main/java/org/hallwall/wire/PeerCodec.java
@@ -41,23 +41,23 @@
 
     private static final int LENGTH_BYTES = 4;
 
-    private final PeerKinds kinds;
+    private final PeerMessageTypes messageTypes;
     private final ObjectMapper mapper;
 
     /**
      * Creates the codec.
      *
-     * @param kinds the supported message types
+     * @param messageTypes the supported message types
      */
-    public PeerCodec(PeerKinds kinds) {
-        this.kinds = kinds;
+    public PeerCodec(PeerMessageTypes messageTypes) {
+        this.messageTypes = messageTypes;
         this.mapper = new ObjectMapper(new MessagePackFactory());
         this.mapper.disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
     }
 
     ByteBuf encode(PeerFrame frame) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-            packer.packInt(kinds.numberOf(frame.message()));
+            packer.packInt(messageTypes.numberOf(frame.message()));
             packer.packLong(frame.correlationId());
             packer.packBoolean(frame.reply());
             packer.writePayload(mapper.writeValueAsBytes(frame.message()));
@@ -73,7 +73,7 @@
             int number = unpacker.unpackInt();
             long correlationId = unpacker.unpackLong();
             boolean reply = unpacker.unpackBoolean();
-            Class<? extends PeerMessage> type = kinds.typeOf(number);
+            Class<? extends PeerMessage> type = messageTypes.typeOf(number);
             if (type == null) {
                 throw new IOException("unknown message type " + number);
             }
--- a/wire/src/main/java/org/hallwall/wire/PeerKinds.java
+++ b/wire/src/main/java/org/hallwall/wire/PeerMessageTypes.java
@@ -22,7 +22,7 @@
 import java.util.Map;
 
 /** The registry of message types and their numbers on the wire. */
-public final class PeerKinds {
+public final class PeerMessageTypes {
 
     static final int HELLO = 1;
     static final int PING = 2;
@@ -31,9 +31,9 @@
     private final Map<Class<? extends PeerMessage>, Integer> byType = new HashMap<>();
 
     /** Creates a registry that contains the message types of the protocol itself. */
-    public PeerKinds() {
-        add(HELLO, PeerHello.class);
-        add(PING, PeerPing.class);
+    public PeerMessageTypes() {
+        register(HELLO, PeerHello.class);
+        register(PING, PeerPing.class);
     }
 
     /**
@@ -44,7 +44,7 @@
      * @return this object
      * @throws IllegalArgumentException if the number or the class is already registered
      */
-    public PeerKinds add(int number, Class<? extends PeerMessage> type) {
+    public PeerMessageTypes register(int number, Class<? extends PeerMessage> type) {
         if (byNumber.put(number, type) != null || byType.put(type, number) != null) {
             throw new IllegalArgumentException("message type " + number + " or its class is already registered");
         }
--- a/wire/src/test/java/org/hallwall/wire/PeerLinkTest.java
+++ b/wire/src/test/java/org/hallwall/wire/PeerLinkTest.java
@@ -43,7 +43,7 @@
     private static final int LINKS = 400;
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
-    private final PeerCodec codec = new PeerCodec(new PeerKinds());
+    private final PeerCodec codec = new PeerCodec(new PeerMessageTypes());
     private final List<PeerLink> links = new ArrayList<>();
     private PeerServer server;
 
