--- a/cli/src/test/java/org/hallwall/cli/ExplainCommandTest.java
+++ b/cli/src/test/java/org/hallwall/cli/ExplainCommandTest.java
@@ -128,8 +128,8 @@
 
     @ParameterizedTest
     @CsvSource({
-        "explain, WRONG_USE, REQUEST-ID is missing",
-        "explain x, WRONG_USE, FILE is missing",
+        "explain, USAGE_ERROR, REQUEST-ID is missing",
+        "explain x, USAGE_ERROR, FILE is missing",
         "explain x nowhere.log, FAILURE, nowhere.log cannot be read",
         "explain 49094603 " + LOG + ", FAILURE, no line of these logs names request 49094603"
     })
